--- a/decision/src/main/kotlin/dev/almondhaven/decision/billing/BillingOutbox.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/billing/BillingOutbox.kt
@@ -11,16 +11,16 @@
 /**
  * Bounds of a [BillingOutbox].
  *
- * @property records most records kept while the platform is down; further ones overflow.
+ * @property maxRecords most records kept while the platform is down; further ones overflow.
  * @property sealAfter longest time that a record waits for others before its batch is sealed and copied to a peer.
- * @property resendAfter least time before an unstored batch is sent to a writer again; doubles up to [longestResend].
+ * @property initialResendDelay least time before an unstored batch is sent to a writer again; doubles up to [maxResendDelay].
  */
 public data class OutboxLimits(
-    public val records: Int = 60_000,
-    public val batchRecords: Int = 500,
+    public val maxRecords: Int = 60_000,
+    public val maxBatchRecords: Int = 500,
     public val sealAfter: Duration = 250.milliseconds,
-    public val resendAfter: Duration = 5.seconds,
-    public val longestResend: Duration = 60.seconds,
+    public val initialResendDelay: Duration = 5.seconds,
+    public val maxResendDelay: Duration = 60.seconds,
 )
 
 /**
@@ -58,7 +58,7 @@
         record: BillingRecord,
         now: Long,
     ): Boolean {
-        if (held >= limits.records) {
+        if (held >= limits.maxRecords) {
             overflowed++
             return false
         }
@@ -74,13 +74,13 @@
         wallMillis: Long,
         force: Boolean = false,
     ): SealedBatch? {
-        val due = open.size >= limits.batchRecords || now - openedAt >= limits.sealAfter.inWholeNanoseconds
+        val due = open.size >= limits.maxBatchRecords || now - openedAt >= limits.sealAfter.inWholeNanoseconds
         if (open.isEmpty() || !(due || force)) return null
         sealed++
-        val batch = SealedBatch(BatchName(self, sealed), wallMillis, open.take(limits.batchRecords))
+        val batch = SealedBatch(BatchName(self, sealed), wallMillis, open.take(limits.maxBatchRecords))
         open.subList(0, batch.records.size).clear()
         openedAt = now
-        unstored[batch.name] = Unstored(batch, now, limits.resendAfter)
+        unstored[batch.name] = Unstored(batch, now, limits.initialResendDelay)
         return batch
     }
 
@@ -90,12 +90,12 @@
         now: Long,
     ) {
         if (batch.name in unstored) return
-        unstored[batch.name] = Unstored(batch, now, limits.resendAfter)
+        unstored[batch.name] = Unstored(batch, now, limits.initialResendDelay)
         held += batch.records.size
     }
 
     /** The batches of which no router among [live] is known to hold a copy, oldest first. */
-    public fun uncopied(
+    public fun withoutCopy(
         live: Set<RouterId>,
         most: Int,
     ): List<SealedBatch> =
@@ -110,7 +110,7 @@
     public fun unstored(): List<SealedBatch> = unstored.values.map { it.batch }
 
     /** Reports that [holder] has a copy of the batch [name]. */
-    public fun copied(
+    public fun markCopied(
         name: BatchName,
         holder: RouterId,
     ) {
@@ -118,33 +118,33 @@
     }
 
     /** The batches to send to a writer at [now], oldest first; each comes back later unless it is stored. */
-    public fun due(
+    public fun takeDue(
         now: Long,
         most: Int,
     ): List<SealedBatch> {
         val due = unstored.values.filter { now - it.sendAt >= 0 }.take(most)
         due.forEach {
             it.sendAt = now + it.pause.inWholeNanoseconds
-            it.pause = minOf(it.pause * 2, limits.longestResend)
+            it.pause = minOf(it.pause * 2, limits.maxResendDelay)
         }
         return due.map { it.batch }
     }
 
     /** Reports that the platform holds the batch [name]; true if it was waited for. */
-    public fun stored(name: BatchName): Boolean {
+    public fun markStored(name: BatchName): Boolean {
         val batch = unstored.remove(name) ?: return false
         held -= batch.batch.records.size
         return true
     }
 
     /** Makes every waiting batch due at [now]: the platform has just stored something, so an outage is over. */
-    public fun resendNow(now: Long) {
-        unstored.values.filter { it.pause > limits.resendAfter * 2 }.forEach {
+    public fun resetResendDelays(now: Long) {
+        unstored.values.filter { it.pause > limits.initialResendDelay * 2 }.forEach {
             it.sendAt = now
-            it.pause = limits.resendAfter
+            it.pause = limits.initialResendDelay
         }
     }
 
     /** Makes every batch due at [now], whenever it was last sent. */
-    public fun makeAllDue(now: Long): Unit = unstored.values.forEach { it.sendAt = now }
+    public fun resendAllNow(now: Long): Unit = unstored.values.forEach { it.sendAt = now }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/billing/HeldCopies.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/billing/PeerBatchCopies.kt
@@ -11,7 +11,7 @@
  * are handed over to this router's own outbox. Storing a batch twice bills it once, so handing over early is safe. Not
  * safe for use from several threads.
  */
-public class HeldCopies(
+public class PeerBatchCopies(
     private val mostRecords: Int = DEFAULT_MOST_RECORDS,
     private val patience: Duration = 30.seconds,
 ) {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/AttemptLedger.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/AttemptLedger.kt
@@ -23,7 +23,7 @@
     @SerialName("finished")
     public data class Finished(
         public val outcome: Outcome,
-        public val answer: RecordedAnswer? = null,
+        @SerialName("answer") public val response: RecordedResponse? = null,
     ) : AttemptStatus
 
     /** Never dispatched, and never will be. */
@@ -57,7 +57,7 @@
 
     /** Issues an attempt that may be dispatched before [dispatchBy], in monotonic nanoseconds. */
     @Synchronized
-    public fun open(dispatchBy: Long): Attempt {
+    public fun issue(dispatchBy: Long): Attempt {
         issued++
         entries[issued] = Entry(dispatchBy)
         dropOldest()
@@ -88,7 +88,7 @@
 
     /** Takes a dispatch back of which certainly no byte was sent. */
     @Synchronized
-    public fun notSent(attempt: Attempt) {
+    public fun undoDispatch(attempt: Attempt) {
         val entry = entries[attempt.number] ?: return
         if (entry.status == AttemptStatus.Dispatched) entry.status = AttemptStatus.Pending
     }
@@ -98,14 +98,14 @@
     public fun finish(
         attempt: Attempt,
         outcome: Outcome,
-        answer: RecordedAnswer?,
+        answer: RecordedResponse?,
     ) {
         entries[attempt.number]?.status = AttemptStatus.Finished(outcome, answer)
     }
 
     /** The status of [attempt] at [now]; an attempt past its bound is made void by asking. */
     @Synchronized
-    public fun ask(
+    public fun statusAt(
         attempt: Attempt,
         now: Long,
     ): AttemptStatus {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimAction.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimAction.kt
@@ -3,7 +3,7 @@
 import dev.almondhaven.model.Outcome
 import dev.almondhaven.model.ResultCode
 
-/** What a [ClaimProcess] wants done. */
+/** What a [ClaimStateMachine] wants done. */
 public sealed interface ClaimAction {
     /** Settle [operation] and report its verdict. */
     public data class Submit(
@@ -19,20 +19,20 @@
     public data object Dispatch : ClaimAction
 
     /** Ask the holder of [attempt] for its status, after a pause if [later]. */
-    public data class Ask(
+    public data class QueryStatus(
         public val attempt: Attempt,
-        public val later: Boolean,
+        public val afterDelay: Boolean,
     ) : ClaimAction
 
     /** Report the end of a pause. */
-    public data object Pause : ClaimAction
+    public data object Delay : ClaimAction
 
     /** Give the caller the answer of its own call. */
     public data object Deliver : ClaimAction
 
     /** Give the caller the kept answer of an earlier attempt. */
     public data class Replay(
-        public val answer: RecordedAnswer,
+        public val response: RecordedResponse,
     ) : ClaimAction
 
     /** Refuse the call. */
@@ -49,12 +49,12 @@
 }
 
 /** How the way to an endpoint ended. */
-public sealed interface DispatchEnd {
+public sealed interface DispatchResult {
     /** With an answer; [answer] is null if it is too large to keep. */
     public data class Answered(
-        public val answer: RecordedAnswer?,
-    ) : DispatchEnd
+        public val response: RecordedResponse?,
+    ) : DispatchResult
 
     /** With an error, whether or not anything was sent. */
-    public data object Failed : DispatchEnd
+    public data object Failed : DispatchResult
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimDocument.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimDocument.kt
@@ -39,7 +39,7 @@
         val held = records[operation.key]
         return when {
             held == null && fingerprint(operation.key) in expired -> unchanged(ClaimVerdict.Expired)
-            held == null && bytes > CLAIM_LIMIT_BYTES -> unchanged(ClaimVerdict.Full)
+            held == null && bytes > MAX_SHARD_BYTES_FOR_CLAIMS -> unchanged(ClaimVerdict.Full)
             held == null || isFree(held, operation) -> with(operation.key, operation.record(), ClaimVerdict.Granted)
             held.attempt == operation.attempt && held.state == ClaimState.CLAIMED -> unchanged(ClaimVerdict.Granted)
             else -> unchanged(ClaimVerdict.Held(held))
@@ -60,18 +60,21 @@
     private fun arrivedLater(
         held: ClaimRecord,
         operation: ClaimOperation.Claim,
-    ): Boolean = operation.at > held.claimedAt + 2 * ARRIVAL_TOLERANCE_MILLIS
+    ): Boolean = operation.claimedAt > held.claimedAt + 2 * ARRIVAL_TOLERANCE_MILLIS
 
-    private fun ClaimOperation.Claim.record() = ClaimRecord(body, attempt, at)
+    private fun ClaimOperation.Claim.record() = ClaimRecord(requestDigest, attempt, claimedAt)
 
     private fun finish(
         operation: ClaimOperation.Finish,
         bytes: Int,
     ): AppliedOperation {
         val held = claimedBy(operation) ?: return unchanged(ClaimVerdict.Recorded)
-        val answer =
-            operation.answer?.takeIf { it.body.length <= ANSWER_LIMIT_BYTES && bytes <= ANSWERS_LIMIT_BYTES }
-        val finished = held.copy(state = ClaimState.FINISHED, outcome = operation.outcome, answer = answer)
+        val response =
+            operation.response?.takeIf {
+                it.body.length <= MAX_RESPONSE_CHARACTERS &&
+                    bytes <= MAX_SHARD_BYTES_FOR_RESPONSES
+            }
+        val finished = held.copy(state = ClaimState.FINISHED, outcome = operation.outcome, response = response)
         return with(operation.key, finished, ClaimVerdict.Recorded)
     }
 
@@ -108,16 +111,16 @@
 
     public companion object {
         /** Shards beyond this size take no further keys; the rest is for the ends of those they have. */
-        public const val CLAIM_LIMIT_BYTES: Int = 800_000
+        public const val MAX_SHARD_BYTES_FOR_CLAIMS: Int = 800_000
 
         /** Shards beyond this size keep no further answers. */
-        public const val ANSWERS_LIMIT_BYTES: Int = 500_000
+        public const val MAX_SHARD_BYTES_FOR_RESPONSES: Int = 500_000
 
         /** How far routers' clocks may differ for the order of arrival of two requests under one key to be known. */
         public const val ARRIVAL_TOLERANCE_MILLIS: Long = 500
 
         /** Longest Base64 text of an answer that is kept. */
-        public const val ANSWER_LIMIT_BYTES: Int = 1_024
+        public const val MAX_RESPONSE_CHARACTERS: Int = 1_024
         private const val FINGERPRINT_CHARACTERS = 11
         private val json = Json { ignoreUnknownKeys = true }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimOperation.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimOperation.kt
@@ -13,7 +13,7 @@
     /**
      * Claims the key for [attempt].
      *
-     * @property at epoch milliseconds.
+     * @property claimedAt epoch milliseconds.
      * @property voided attempts that their holders declared void.
      */
     @Serializable
@@ -21,8 +21,8 @@
     public data class Claim(
         override val key: Digest,
         override val attempt: Attempt,
-        public val body: Digest,
-        public val at: Long,
+        @SerialName("body") public val requestDigest: Digest,
+        @SerialName("at") public val claimedAt: Long,
         public val voided: Set<Attempt> = emptySet(),
     ) : ClaimOperation
 
@@ -33,7 +33,7 @@
         override val key: Digest,
         override val attempt: Attempt,
         public val outcome: Outcome,
-        public val answer: RecordedAnswer? = null,
+        @SerialName("answer") public val response: RecordedResponse? = null,
     ) : ClaimOperation
 
     /** Records that [attempt] will never be dispatched. */
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimPlacement.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimPlacement.kt
@@ -19,7 +19,7 @@
 /** Where a key's claim is kept, which depends on nothing but the key. */
 public sealed interface ClaimPlacement {
     /** The key's claim is in [shard] or nowhere. */
-    public data class In(
+    public data class InShard(
         public val shard: ClaimShard,
     ) : ClaimPlacement
 
@@ -27,9 +27,9 @@
     public data object Expired : ClaimPlacement
 
     /** The key's time lies in the future by more than clocks may differ. */
-    public data class Ahead(
+    public data class InFuture(
         /** Whether no router whose clock is within the tolerance can have accepted the key. */
-        public val certain: Boolean,
+        public val neverAccepted: Boolean,
     ) : ClaimPlacement
 
     public companion object {
@@ -66,16 +66,17 @@
             nowMillis: Long,
         ): ClaimPlacement {
             val slot = hash.hashUnencodedChars(key.digest.value).asLong()
-            val time = timeOrNull(key.text) ?: return In(ClaimShard("$UNDATED_PREFIX${slot.mod(UNDATED_SHARDS)}"))
+            val time =
+                uuidMillisOrNull(key.text) ?: return InShard(ClaimShard("$UNDATED_PREFIX${slot.mod(UNDATED_SHARDS)}"))
             return when {
                 time < nowMillis - RETENTION.inWholeMilliseconds -> Expired
                 time > nowMillis + CLOCK_TOLERANCE.inWholeMilliseconds -> ahead(time - nowMillis)
-                else -> In(datedShard(time, slot.mod(SHARDS_PER_PERIOD)))
+                else -> InShard(datedShard(time, slot.mod(SHARDS_PER_PERIOD)))
             }
         }
 
         /** Whether every key of [shard] expired so long ago that no router's clock can still accept one. */
-        public fun deletable(
+        public fun isDeletable(
             shard: ClaimShard,
             nowMillis: Long,
         ): Boolean {
@@ -90,13 +91,13 @@
         }
 
         /** Epoch milliseconds inside a version 7 UUID, or null for any other text. */
-        public fun timeOrNull(text: String): Long? {
+        public fun uuidMillisOrNull(text: String): Long? {
             val lower = text.lowercase()
             if (!uuidVersion7.matches(lower)) return null
             return lower.replace("-", "").take(TIME_DIGITS).toLong(HEXADECIMAL)
         }
 
-        private fun ahead(millis: Long) = Ahead(certain = millis > 2 * CLOCK_TOLERANCE.inWholeMilliseconds)
+        private fun ahead(millis: Long) = InFuture(neverAccepted = millis > 2 * CLOCK_TOLERANCE.inWholeMilliseconds)
 
         private fun datedShard(
             time: Long,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimRecord.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimRecord.kt
@@ -30,7 +30,7 @@
 
 /** The answer of a finished call; [body] is Base64. */
 @Serializable
-public data class RecordedAnswer(
+public data class RecordedResponse(
     @SerialName("s") public val status: Int,
     @SerialName("t") public val contentType: String,
     @SerialName("b") public val body: String,
@@ -39,17 +39,17 @@
 /**
  * What the platform keeps for one key.
  *
- * @property body digest of the request's method, path and body.
+ * @property requestDigest digest of the request's method, path and body.
  * @property claimedAt epoch milliseconds of the claim by its holder's clock.
  * @property outcome whether the call ran, once it is finished.
- * @property answer the answer of a finished call when it was small enough to keep.
+ * @property response the answer of a finished call when it was small enough to keep.
  */
 @Serializable
 public data class ClaimRecord(
-    @SerialName("b") public val body: Digest,
+    @SerialName("b") public val requestDigest: Digest,
     @SerialName("a") public val attempt: Attempt,
     @SerialName("t") public val claimedAt: Long,
     @SerialName("s") public val state: ClaimState = ClaimState.CLAIMED,
     @SerialName("o") public val outcome: Outcome? = null,
-    @SerialName("r") public val answer: RecordedAnswer? = null,
+    @SerialName("r") public val response: RecordedResponse? = null,
 )
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimProcess.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimStateMachine.kt
@@ -6,22 +6,22 @@
 /**
  * What identifies a call that is to be claimed.
  *
- * @property body digest of the request's method, path and body.
- * @property at epoch milliseconds of its arrival.
- * @property first whether it is certain that there was no earlier request under the key.
+ * @property requestDigest digest of the request's method, path and body.
+ * @property arrivedAt epoch milliseconds of its arrival.
+ * @property isFirst whether it is certain that there was no earlier request under the key.
  */
 public data class ClaimRequest(
     public val key: Digest,
-    public val body: Digest,
-    public val at: Long,
-    public val first: Boolean = false,
+    public val requestDigest: Digest,
+    public val arrivedAt: Long,
+    public val isFirst: Boolean = false,
 )
 
 /**
  * The way of one non-idempotent call: it claims its key, is dispatched if the claim is granted, and otherwise finds out
  * what came of the attempt that holds the key. Not safe for use from several threads.
  */
-public class ClaimProcess(
+public class ClaimStateMachine(
     private val request: ClaimRequest,
     private val attempt: Attempt,
     private val ledger: AttemptLedger,
@@ -52,7 +52,7 @@
     }
 
     /** Reports that the claim was not taken for want of room. */
-    public fun onDropped(): List<ClaimAction> =
+    public fun onRejected(): List<ClaimAction> =
         if (answered) emptyList() else refuse(ResultCode.OVERLOADED, unread(), "too many claims wait")
 
     /** Reports what the holder of [asked] said; null if it could not be reached, and then whether it [lives]. */
@@ -69,11 +69,11 @@
             }
 
             is AttemptStatus.Finished -> {
-                onFinished(status.outcome, status.answer)
+                onFinished(status.outcome, status.response)
             }
 
             AttemptStatus.Pending, AttemptStatus.Dispatched -> {
-                listOf(ClaimAction.Ask(asked, later = true))
+                listOf(ClaimAction.QueryStatus(asked, afterDelay = true))
             }
 
             AttemptStatus.Unknown, null -> {
@@ -83,18 +83,18 @@
     }
 
     /** Reports the end of a pause. */
-    public fun onPauseEnded(): List<ClaimAction> = if (answered) emptyList() else submit()
+    public fun onDelayElapsed(): List<ClaimAction> = if (answered) emptyList() else submit()
 
     /** Reports how the dispatch ended. */
-    public fun onDispatchEnded(end: DispatchEnd): List<ClaimAction> {
-        if (end == DispatchEnd.Failed && ledger.void(attempt)) {
+    public fun onDispatchResult(end: DispatchResult): List<ClaimAction> {
+        if (end == DispatchResult.Failed && ledger.void(attempt)) {
             return listOf(ClaimAction.Record(ClaimOperation.Void(request.key, attempt))) +
                 answer(ClaimAction.Fail(Outcome.NOT_RUN))
         }
-        val outcome = if (end is DispatchEnd.Answered) Outcome.RAN else Outcome.UNKNOWN
-        val kept = (end as? DispatchEnd.Answered)?.answer
+        val outcome = if (end is DispatchResult.Answered) Outcome.RAN else Outcome.UNKNOWN
+        val kept = (end as? DispatchResult.Answered)?.response
         ledger.finish(attempt, outcome, kept)
-        val last = if (end is DispatchEnd.Answered) ClaimAction.Deliver else ClaimAction.Fail(Outcome.UNKNOWN)
+        val last = if (end is DispatchResult.Answered) ClaimAction.Deliver else ClaimAction.Fail(Outcome.UNKNOWN)
         return listOf(ClaimAction.Record(ClaimOperation.Finish(request.key, attempt, outcome, kept))) + answer(last)
     }
 
@@ -110,7 +110,7 @@
 
     private fun submit(): List<ClaimAction> {
         claimMayExist = true
-        val claim = ClaimOperation.Claim(request.key, attempt, request.body, request.at, voided.toSet())
+        val claim = ClaimOperation.Claim(request.key, attempt, request.requestDigest, request.arrivedAt, voided.toSet())
         return listOf(ClaimAction.Submit(claim))
     }
 
@@ -118,8 +118,8 @@
         val void = record.state == ClaimState.VOID || record.attempt in voided
         return when {
             void -> onVoid(record)
-            record.body != request.body -> onOtherBody(record)
-            record.state == ClaimState.FINISHED -> onFinished(record.outcome ?: Outcome.UNKNOWN, record.answer)
+            record.requestDigest != request.requestDigest -> onOtherBody(record)
+            record.state == ClaimState.FINISHED -> onFinished(record.outcome ?: Outcome.UNKNOWN, record.response)
             else -> onClaimed(record)
         }
     }
@@ -129,7 +129,7 @@
      * this one came within the tolerance of clocks; a later one may follow a request that isn't kept back.
      */
     private fun onVoid(record: ClaimRecord): List<ClaimAction> {
-        val certain = request.at <= record.claimedAt + ClaimDocument.ARRIVAL_TOLERANCE_MILLIS
+        val certain = request.arrivedAt <= record.claimedAt + ClaimDocument.ARRIVAL_TOLERANCE_MILLIS
         val outcome = if (certain) Outcome.NOT_RUN else unread()
         return refuse(ResultCode.CLAIM_VOIDED, outcome, "a call under the key was refused at that time")
     }
@@ -142,12 +142,12 @@
 
     private fun onClaimed(record: ClaimRecord): List<ClaimAction> {
         heldByOther = true
-        return listOf(ClaimAction.Ask(record.attempt, later = false))
+        return listOf(ClaimAction.QueryStatus(record.attempt, afterDelay = false))
     }
 
     private fun onFinished(
         outcome: Outcome,
-        kept: RecordedAnswer?,
+        kept: RecordedResponse?,
     ): List<ClaimAction> {
         if (kept == null || outcome != Outcome.RAN) {
             return refuse(ResultCode.CLAIM_ANSWER_NOT_KEPT, outcome, "the first attempt has ended")
@@ -162,12 +162,12 @@
         lives: Boolean,
     ): List<ClaimAction> {
         unansweredQuestions++
-        if (unansweredQuestions <= QUESTIONS || lives) return listOf(ClaimAction.Pause)
+        if (unansweredQuestions <= QUESTIONS || lives) return listOf(ClaimAction.Delay)
         return refuse(ResultCode.CLAIM_HOLDER_GONE, Outcome.UNKNOWN, "holder ${asked.holder}")
     }
 
     /** What can be said of earlier requests under the key before its claim was read. */
-    private fun unread(): Outcome = if (request.first) Outcome.NOT_RUN else Outcome.UNKNOWN
+    private fun unread(): Outcome = if (request.isFirst) Outcome.NOT_RUN else Outcome.UNKNOWN
 
     /** Refuses the call. An attempt that isn't dispatched is made void first, which keeps `not_run` true. */
     private fun refuse(
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ShardWriter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ShardWriter.kt
@@ -9,16 +9,16 @@
  * How a [ShardWriter] paces itself.
  *
  * @property writeInterval least time between two writes of one shard; operations that come between share a write.
- * @property endDelay longest time that the end of an attempt waits for a claim to share its write.
- * @property firstBackoff bound of the random pause after the first failed call; it doubles with each failure.
+ * @property completionDelay longest time that the end of an attempt waits for a claim to share its write.
+ * @property initialBackoff bound of the random pause after the first failed call; it doubles with each failure.
  */
 public data class ShardWriterLimits(
     public val writeInterval: Duration = 100.milliseconds,
-    public val endDelay: Duration = 500.milliseconds,
-    public val firstBackoff: Duration = 20.milliseconds,
-    public val longestBackoff: Duration = 2.seconds,
-    public val waiting: Int = 2_048,
-    public val batch: Int = 256,
+    public val completionDelay: Duration = 500.milliseconds,
+    public val initialBackoff: Duration = 20.milliseconds,
+    public val maxBackoff: Duration = 2.seconds,
+    public val maxPending: Int = 2_048,
+    public val maxBatch: Int = 256,
 )
 
 /**
@@ -53,7 +53,7 @@
     private var failures = 0
 
     /** Operations that are not settled. */
-    public val pending: Int get() = waiting.size
+    public val pendingCount: Int get() = waiting.size
 
     /** Takes [operation] at [now]; false when too many wait, and it is then not taken. */
     public fun submit(
@@ -65,7 +65,7 @@
             settled += SettledOperation(token, ClaimVerdict.Recorded)
             return true
         }
-        if (waiting.size >= limits.waiting) return false
+        if (waiting.size >= limits.maxPending) return false
         waiting += Submission(operation, token, now)
         fresh = false
         return true
@@ -81,22 +81,22 @@
     }
 
     /**
-     * What to do at [now], in monotonic nanoseconds; [wallMillis] is the time of day. With [hurry] ends of attempts don't
+     * What to do at [now], in monotonic nanoseconds; [wallMillis] is the time of day. With [flush] ends of attempts don't
      * wait for claims.
      */
     public fun next(
         now: Long,
         wallMillis: Long,
-        hurry: Boolean = false,
+        flush: Boolean = false,
     ): ShardStep {
         if (waiting.isEmpty()) return ShardStep.Idle
-        val start = if (hurry) notBefore else maxOf(notBefore, dueAt())
+        val start = if (flush) notBefore else maxOf(notBefore, dueAt())
         if (now < start) return ShardStep.Wait(start)
         val base = known ?: return ShardStep.Read
         val before = base.document.compacted(wallMillis)
         var document = before
         planned =
-            waiting.take(limits.batch).map { submission ->
+            waiting.take(limits.maxBatch).map { submission ->
                 val applied = document.apply(submission.operation, base.bytes)
                 document = applied.document
                 SettledOperation(submission.token, applied.verdict)
@@ -106,7 +106,7 @@
 
     private fun dueAt(): Long {
         val claims = waiting.any { it.operation is ClaimOperation.Claim }
-        return if (claims) Long.MIN_VALUE else waiting.first().at + limits.endDelay.inWholeNanoseconds
+        return if (claims) Long.MIN_VALUE else waiting.first().at + limits.completionDelay.inWholeNanoseconds
     }
 
     private fun settleUnchanged(): ShardStep {
@@ -167,7 +167,7 @@
     }
 
     /** The operations settled since the last call. */
-    public fun takeSettled(): List<SettledOperation<T>> = settled.toList().also { settled.clear() }
+    public fun drainSettled(): List<SettledOperation<T>> = settled.toList().also { settled.clear() }
 
     private fun settlePlanned() {
         settled += planned
@@ -177,9 +177,9 @@
     }
 
     private fun backOff(now: Long) {
-        val bound = limits.firstBackoff * (1 shl minOf(failures, MAXIMUM_DOUBLINGS))
+        val bound = limits.initialBackoff * (1 shl minOf(failures, MAXIMUM_DOUBLINGS))
         failures++
-        notBefore = now + random.nextLong(minOf(bound, limits.longestBackoff).inWholeNanoseconds) + 1
+        notBefore = now + random.nextLong(minOf(bound, limits.maxBackoff).inWholeNanoseconds) + 1
     }
 
     private companion object {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/CallBudget.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/CallRateLimiter.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.decision.distribution
 
 /** A token bucket that bounds how often one process calls the platform. */
-public class CallBudget(
+public class CallRateLimiter(
     private val perSecond: Double,
     private val burst: Int,
     now: Long,
@@ -10,7 +10,7 @@
     private var filledAt = now
 
     /** Whether a call may be made at [now]; counts it if so. */
-    public fun take(now: Long): Boolean {
+    public fun tryAcquire(now: Long): Boolean {
         tokens = minOf(burst.toDouble(), tokens + (now - filledAt) * perSecond / NANOS_PER_SECOND)
         filledAt = now
         if (tokens < 1) return false
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/ConfigurationFreshness.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/ConfigurationFreshness.kt
@@ -37,7 +37,7 @@
 
     /** The platform's head was at [generation] at [at]. */
     @Synchronized
-    public fun confirmed(
+    public fun recordConfirmation(
         generation: Generation,
         at: Long,
     ) {
@@ -47,12 +47,12 @@
     }
 
     /** Another router told [gossip] at [now]. */
-    public fun heard(
+    public fun recordGossip(
         now: Long,
         gossip: ConfigurationGossip,
     ) {
         val age = gossip.confirmedMillisAgo ?: return
-        confirmed(gossip.generation, now - age.coerceAtLeast(0).milliseconds.inWholeNanoseconds)
+        recordConfirmation(gossip.generation, now - age.coerceAtLeast(0).milliseconds.inWholeNanoseconds)
     }
 
     /** What to tell others while [held] is in force. */
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/GossipExchange.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/GossipExchange.kt
@@ -63,7 +63,7 @@
         body: String,
     ): String {
         val message = decode(body)
-        val answer = membership.receive(now, message.membership)
+        val answer = membership.onProbe(now, message.membership)
         hear(now, message)
         return encode(now, answer)
     }
@@ -85,7 +85,7 @@
     }
 
     /** Takes in the [answer] to [request], or that there was none; returns what has to be sent next. */
-    public fun completed(
+    public fun onCompleted(
         now: Long,
         request: PeerRequest,
         answer: String?,
@@ -107,7 +107,7 @@
         answer: String,
     ) {
         val message = decode(answer)
-        membership.answered(now, request.probe, message.membership)
+        membership.onProbeAnswered(now, request.probe, message.membership)
         hear(now, message)
     }
 
@@ -116,7 +116,7 @@
         answer: String,
     ) {
         val reached = json.decodeFromString(IndirectProbeAnswer.serializer(), answer).reached
-        if (reached) membership.reached(request.number)
+        if (reached) membership.onTargetReached(request.number)
     }
 
     private fun hear(
@@ -124,7 +124,7 @@
         message: GossipMessage,
     ) {
         val from = message.membership.from
-        freshness.heard(now, message.configuration)
+        freshness.recordGossip(now, message.configuration)
         if (message.configuration.generation > holder.generation) lastTeller = from
         sections.incoming(from.id, message.topics)
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/PeerRequest.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/PeerRequest.kt
@@ -26,7 +26,7 @@
     public val reached: Boolean = false,
 )
 
-/** A message to another router, to be answered or reported as failed to [GossipExchange.completed]. */
+/** A message to another router, to be answered or reported as failed to [GossipExchange.onCompleted]. */
 public sealed interface PeerRequest {
     public val to: Member
     public val path: String
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/FullJitter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/RetryDelay.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration.Companion.nanoseconds
 
 /** Retry delays with full jitter: uniform between nothing and a bound that doubles with each failure up to [longest]. */
-public class FullJitter(
+public class RetryDelay(
     private val first: Duration,
     private val longest: Duration,
     private val random: UniformRandomProvider,
@@ -13,17 +13,17 @@
     private var failures = 0
 
     /** Delay before the next attempt, after one more failure. */
-    public fun failed(): Duration {
+    public fun nextDelay(): Duration {
         val bound = minOf(longest, first * (1L shl minOf(failures, MAXIMUM_DOUBLINGS)).toInt())
         failures++
-        return within(bound)
+        return uniformDelay(bound)
     }
 
     /** A delay between nothing and [bound]. */
-    public fun within(bound: Duration): Duration = random.nextLong(bound.inWholeNanoseconds + 1).nanoseconds
+    public fun uniformDelay(bound: Duration): Duration = random.nextLong(bound.inWholeNanoseconds + 1).nanoseconds
 
     /** Begins anew after a success. */
-    public fun succeeded() {
+    public fun reset() {
         failures = 0
     }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/WatchSchedule.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/WatchSchedule.kt
@@ -28,8 +28,8 @@
     random: UniformRandomProvider,
     now: Long,
 ) {
-    private val jitter = FullJitter(FIRST_RETRY, LONGEST_RETRY, random)
-    private val budget = CallBudget(CALLS_PER_SECOND, CALL_BURST, now)
+    private val retryDelay = RetryDelay(FIRST_RETRY, LONGEST_RETRY, random)
+    private val callLimiter = CallRateLimiter(CALLS_PER_SECOND, CALL_BURST, now)
     private var chosenAmong: List<Member>? = null
     private var chosen = false
     private var hasRead = false
@@ -44,7 +44,7 @@
         val watches = watches(view)
         val due = now >= retryAt && (watches || now >= pollAt)
         return when {
-            !due || !budget.take(now) -> WatchCall.NONE
+            !due || !callLimiter.tryAcquire(now) -> WatchCall.NONE
             watches && hasRead -> WatchCall.WATCH
             else -> WatchCall.READ
         }
@@ -66,15 +66,15 @@
         stale: Boolean,
     ) {
         hasRead = true
-        jitter.succeeded()
+        retryDelay.reset()
         val interval = if (stale) STALE_POLL else plan.pollInterval(members)
-        pollAt = now + jitter.within(interval * 2).inWholeNanoseconds
+        pollAt = now + retryDelay.uniformDelay(interval * 2).inWholeNanoseconds
     }
 
     /** The last call failed, so the head has to be read anew. */
     public fun failed(now: Long) {
         hasRead = false
-        retryAt = now + jitter.failed().inWholeNanoseconds
+        retryAt = now + retryDelay.nextDelay().inWholeNanoseconds
     }
 
     private companion object {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiter.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.decision.endpoint
 
-import dev.almondhaven.decision.limit.SettledShare
+import dev.almondhaven.decision.limit.RecentMinimumShare
 import dev.almondhaven.model.RouterId
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.nanoseconds
@@ -16,7 +16,7 @@
 ) {
     private val adaptive = AdaptiveLimit(state.slots * WARM_QUEUE_FACTOR)
     private val latency = LatencyTracker()
-    private val settled = SettledShare(state.endpoint.id.value, self)
+    private val settled = RecentMinimumShare(state.endpoint.id.value, self)
     private var startedAt: Long? = null
     private var suspectedAt: Long? = null
     private var returnedAt: Long? = null
--- a/decision/src/main/kotlin/dev/almondhaven/decision/lease/Lease.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/lease/Lease.kt
@@ -34,7 +34,7 @@
     )
 
     /** The fencing number to order with at [now]; null when this router must give no order. */
-    public fun fencing(now: Long): Long? {
+    public fun fencingToken(now: Long): Long? {
         val lease = held ?: return null
         val usable = settings.term - settings.margin
         return lease.record.fencing.takeIf { now - lease.since < usable.inWholeNanoseconds }
@@ -50,7 +50,7 @@
         return when {
             !wanted && lease == null -> null
             !known || unsettled != null -> LeaseCall.Read
-            lease != null && fencing(now) == null -> lapsed()
+            lease != null && fencingToken(now) == null -> lapsed()
             lease != null -> renewal(now, lease, wanted)
             else -> takeover(now)
         }
@@ -66,15 +66,15 @@
         lease: Held,
         wanted: Boolean,
     ): LeaseCall? {
-        val due = now - lease.since >= settings.renewEvery.inWholeNanoseconds
+        val due = now - lease.since >= settings.renewInterval.inWholeNanoseconds
         return if (due && wanted) write(now, lease.record.fencing, lease.version) else null
     }
 
     private fun takeover(now: Long): LeaseCall? {
         val other = seen ?: return write(now, FIRST_FENCING, version = null)
-        val wait = if (other.record.holder == self) settings.longestOrder else settings.wait
+        val wait = if (other.record.holder == self) settings.orderLifetime else settings.wait
         if (now - seenAt >= wait.inWholeNanoseconds) return write(now, other.record.fencing + 1, other.version)
-        return LeaseCall.Read.takeIf { now - lastReadAt >= settings.renewEvery.inWholeNanoseconds }
+        return LeaseCall.Read.takeIf { now - lastReadAt >= settings.renewInterval.inWholeNanoseconds }
     }
 
     private fun write(
@@ -88,7 +88,7 @@
     }
 
     /** A [LeaseCall.Read] was answered at [now]; [found] is null when there is no record. */
-    public fun read(
+    public fun onRead(
         now: Long,
         found: VersionedLease?,
     ) {
@@ -112,7 +112,7 @@
     }
 
     /** A [LeaseCall.Write] took effect as [version]. */
-    public fun written(
+    public fun onWritten(
         now: Long,
         version: Long,
     ) {
@@ -124,10 +124,10 @@
     }
 
     /** A [LeaseCall.Write] found another version and had no effect. */
-    public fun conflicted(): Unit = forget()
+    public fun onConflict(): Unit = forget()
 
     /** A call had no answer; a write may have taken effect or may still do so. */
-    public fun failed() {
+    public fun onFailure() {
         unsettled = underWay ?: unsettled
         underWay = null
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/lease/LeaseRecord.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/lease/LeaseRecord.kt
@@ -24,12 +24,12 @@
 
 /** What a lease needs from the platform. */
 public sealed interface LeaseCall {
-    /** Read the record; report to [Lease.read] or [Lease.failed]. */
+    /** Read the record; report to [Lease.onRead] or [Lease.onFailure]. */
     public data object Read : LeaseCall
 
     /**
-     * Write [record] if the object is still at [version], or absent when null; report to [Lease.written],
-     * [Lease.conflicted] or [Lease.failed].
+     * Write [record] if the object is still at [version], or absent when null; report to [Lease.onWritten],
+     * [Lease.onConflict] or [Lease.onFailure].
      */
     public data class Write(
         public val record: LeaseRecord,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/lease/LeaseSettings.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/lease/LeaseSettings.kt
@@ -7,20 +7,20 @@
  * Times of a lease. Each router measures spans with its own monotonic clock; no two clocks are compared.
  *
  * @property term how long the holder counts on a write, from the moment it was asked for.
- * @property renewEvery time between two renewals.
+ * @property renewInterval time between two renewals.
  * @property margin time before the end of the term at which the holder stops giving orders.
- * @property longestOrder time after which an order that was sent can no longer take effect.
+ * @property orderLifetime time after which an order that was sent can no longer take effect.
  */
 public data class LeaseSettings(
     public val term: Duration = 30.seconds,
-    public val renewEvery: Duration = 10.seconds,
+    public val renewInterval: Duration = 10.seconds,
     public val margin: Duration = 8.seconds,
-    public val longestOrder: Duration = 5.seconds,
+    public val orderLifetime: Duration = 5.seconds,
 ) {
     init {
-        require(renewEvery + margin < term) { "no time to renew: term $term, every $renewEvery, margin $margin" }
+        require(renewInterval + margin < term) { "no time to renew: term $term, every $renewInterval, margin $margin" }
     }
 
     /** How long a successor waits after it first saw the newest version of another holder's record. */
-    internal val wait: Duration get() = term + longestOrder
+    internal val wait: Duration get() = term + orderLifetime
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/FairQueue.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/FairQueue.kt
@@ -22,33 +22,33 @@
 /**
  * A request that waits.
  *
- * @property share weight of its organisation.
- * @property cost expected work, in any unit that all entries share, for example tokens.
+ * @property weight weight of its organisation.
+ * @property cost expected work, in any unit that all entries weight, for example tokens.
  * @property latestStart monotonic nanoseconds by which it has to start to make its deadline.
  */
 public class QueuedRequest<T>(
     public val value: T,
     public val organisation: OrganisationId,
-    public val share: Double,
+    public val weight: Double,
     public val cost: Double,
     public val latestStart: Long,
     public val priority: Priority = Priority.NORMAL,
 ) {
     init {
-        require(share > 0) { "share must be positive, got $share" }
+        require(weight > 0) { "weight must be positive, got $weight" }
         require(cost > 0) { "cost must be positive, got $cost" }
     }
 }
 
 /** What became of a request that wants to wait. */
-public sealed interface Enqueued {
+public sealed interface EnqueueResult {
     /** It waits. */
-    public data object Waiting : Enqueued
+    public data object Waiting : EnqueueResult
 
     /** It can't be served in time, or its organisation's queue is full; [retryAfter] is when there is likely room. */
     public data class Refused(
         public val retryAfter: Duration,
-    ) : Enqueued
+    ) : EnqueueResult
 }
 
 /**
@@ -56,13 +56,13 @@
  * organisation's burst delays only itself. Work that can't start in time is refused at the door, and what has
  * passed its latest start while waiting is handed out by [expired] instead of being served. Belongs to one thread.
  *
- * @property longestQueue requests that may wait for each organisation.
+ * @property maxQueueLength requests that may wait for each organisation.
  */
 public class FairQueue<T>(
-    private val longestQueue: Int = DEFAULT_LONGEST_QUEUE,
+    private val maxQueueLength: Int = DEFAULT_MAX_QUEUE_LENGTH,
 ) {
     private class Lane<T>(
-        val share: Double,
+        val weight: Double,
     ) {
         val waiting: Map<Priority, ArrayDeque<QueuedRequest<T>>> = Priority.entries.associateWith { ArrayDeque() }
         var finishTag = 0.0
@@ -84,17 +84,17 @@
     public fun offer(
         request: QueuedRequest<T>,
         now: Long,
-    ): Enqueued {
-        val lane = lanes.getOrPut(request.organisation) { Lane(request.share) }
+    ): EnqueueResult {
+        val lane = lanes.getOrPut(request.organisation) { Lane(request.weight) }
         val wait = expectedWait(lane)
-        if (lane.size >= longestQueue || now + wait.inWholeNanoseconds >= request.latestStart) {
+        if (lane.size >= maxQueueLength || now + wait.inWholeNanoseconds >= request.latestStart) {
             if (lane.size == 0) lanes -= request.organisation
-            return Enqueued.Refused(wait.coerceIn(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER))
+            return EnqueueResult.Refused(wait.coerceIn(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER))
         }
         if (lane.size == 0) lane.finishTag = maxOf(lane.finishTag, virtualTime)
         lane.waiting.getValue(request.priority) += request
         size++
-        return Enqueued.Waiting
+        return EnqueueResult.Waiting
     }
 
     /** The request whose turn it is, without taking it; null when none waits. */
@@ -105,7 +105,7 @@
         val lane = nextLane() ?: return null
         val request = checkNotNull(lane.head()) { "an empty lane was left in the queue" }
         virtualTime = maxOf(virtualTime, lane.finishTag)
-        lane.finishTag = startTag(lane) + request.cost / lane.share
+        lane.finishTag = startTag(lane) + request.cost / lane.weight
         remove(lane, request)
         rate.recordPoll(now)
         return request
@@ -140,12 +140,12 @@
     private fun expectedWait(lane: Lane<T>): Duration {
         val perSecond = rate.perSecond ?: return Duration.ZERO
         val active = lanes.values.filter { it.size > 0 || it === lane }
-        val part = lane.share / active.sumOf { it.share }
+        val part = lane.weight / active.sumOf { it.weight }
         return (lane.size / (perSecond * part)).seconds
     }
 
     public companion object {
-        public const val DEFAULT_LONGEST_QUEUE: Int = 256
+        public const val DEFAULT_MAX_QUEUE_LENGTH: Int = 256
         private val SHORTEST_RETRY_AFTER = 1.seconds
         private val LONGEST_RETRY_AFTER = 60.seconds
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/OrganisationUse.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/OrganisationLimiter.kt
@@ -8,14 +8,18 @@
 /**
  * What an organisation uses: requests in flight and tokens per minute.
  */
-public data class Use(
+public data class OrganisationUsage(
     public val inFlight: Double,
     public val tokensPerMinute: Double,
 ) {
-    public operator fun plus(other: Use): Use = Use(inFlight + other.inFlight, tokensPerMinute + other.tokensPerMinute)
+    public operator fun plus(other: OrganisationUsage): OrganisationUsage =
+        OrganisationUsage(
+            inFlight + other.inFlight,
+            tokensPerMinute + other.tokensPerMinute,
+        )
 
     public companion object {
-        public val NONE: Use = Use(0.0, 0.0)
+        public val NONE: OrganisationUsage = OrganisationUsage(0.0, 0.0)
     }
 }
 
@@ -23,7 +27,7 @@
  * One organisation's use of this router and the router's part of the organisation's limits. Any thread may start and
  * end requests; one thread calls [refresh].
  */
-public class OrganisationUse(
+public class OrganisationLimiter(
     limits: OrganisationLimits,
     routers: Int,
     now: Long,
@@ -36,20 +40,21 @@
 
     /** Requests that may be in flight on this router. */
     @Volatile
-    public var allowance: Int = partOf(limits.concurrency, Use.NONE, Use.NONE, routers)
+    public var concurrencyAllowance: Int =
+        partOf(limits.concurrency, OrganisationUsage.NONE, OrganisationUsage.NONE, routers)
         private set
 
     /** The use to tell other routers; changes only in [refresh]. */
     @Volatile
-    public var told: Use = Use.NONE
+    public var reportedUsage: OrganisationUsage = OrganisationUsage.NONE
         private set
 
     /** Requests in flight. */
     public val running: Int get() = inFlight.get()
 
-    /** Counts a request in; false when the allowance is used up. */
+    /** Counts a request in; false when the concurrencyAllowance is used up. */
     public fun tryStart(): Boolean {
-        if (inFlight.incrementAndGet() <= allowance) return true
+        if (inFlight.incrementAndGet() <= concurrencyAllowance) return true
         inFlight.decrementAndGet()
         return false
     }
@@ -72,18 +77,24 @@
         tokensSinceRefresh.addAndGet(used)
     }
 
-    /** Works out this router's part anew; [others] is what the other routers told of their use. */
+    /** Works out this router's part anew; [others] is what the other routers reportedUsage of their use. */
     public fun refresh(
         limits: OrganisationLimits,
-        others: Use,
+        others: OrganisationUsage,
         routers: Int,
         now: Long,
     ) {
         measureTokens(now)
-        told = Use(inFlight.get().toDouble(), tokensPerMinute)
-        val fleet = told + others
-        allowance = partOf(limits.concurrency, told, fleet, routers)
-        val rate = PooledShare.of(limits.tokensPerMinute.toDouble(), tokensPerMinute, fleet.tokensPerMinute, routers)
+        reportedUsage = OrganisationUsage(inFlight.get().toDouble(), tokensPerMinute)
+        val fleet = reportedUsage + others
+        concurrencyAllowance = partOf(limits.concurrency, reportedUsage, fleet, routers)
+        val rate =
+            UsageBasedShare.of(
+                limits.tokensPerMinute.toDouble(),
+                tokensPerMinute,
+                fleet.tokensPerMinute,
+                routers,
+            )
         bucket.refill(rate, now)
     }
 
@@ -98,10 +109,10 @@
 
     private fun partOf(
         limit: Int,
-        own: Use,
-        fleet: Use,
+        own: OrganisationUsage,
+        fleet: OrganisationUsage,
         routers: Int,
-    ): Int = PooledShare.of(limit.toDouble(), own.inFlight, fleet.inFlight, routers).toInt()
+    ): Int = UsageBasedShare.of(limit.toDouble(), own.inFlight, fleet.inFlight, routers).toInt()
 
     private companion object {
         const val NANOS_PER_MINUTE = 60e9
--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/SettledShare.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/RecentMinimumShare.kt
@@ -9,7 +9,7 @@
  * of membership reaches every router within that time, the routers that already know of it and those that don't yet
  * stay within the limit together; a router that just joined adds at most its own part. Belongs to one thread.
  */
-public class SettledShare(
+public class RecentMinimumShare(
     private val key: String,
     private val self: RouterId,
     private val settling: Duration = DEFAULT_SETTLING,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/PooledShare.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/UsageBasedShare.kt
@@ -6,7 +6,7 @@
  * any knowledge each router has an equal part. News that is late by the gossip's delay lets the sum exceed the limit by
  * at most what the fleet freed and took anew in that time.
  */
-public object PooledShare {
+public object UsageBasedShare {
     /**
      * The part of [limit] that a router may use.
      *
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/FleetView.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/FleetView.kt
@@ -32,7 +32,7 @@
 
     public companion object {
         /** The view of a router that knows no other. */
-        public fun alone(self: Member): FleetView = FixedFleetView(self, listOf(self))
+        public fun ofSelf(self: Member): FleetView = FixedFleetView(self, listOf(self))
     }
 }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/MemberTable.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/MemberTable.kt
@@ -9,7 +9,7 @@
     private val settings: MembershipSettings,
 ) {
     private val held = TreeMap<String, Entry>()
-    private var snapshot: FleetView = FleetView.alone(self)
+    private var snapshot: FleetView = FleetView.ofSelf(self)
     private var viewChanged = false
     private var nextDeadline = Long.MAX_VALUE
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/Membership.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/Membership.kt
@@ -47,7 +47,7 @@
     public val suspects: Set<RouterId> get() = table.suspects()
 
     /** Sets the addresses to look for routers at: seeds and the VM list, which may be old. */
-    public fun lookAt(addresses: List<String>) {
+    public fun setContactAddresses(addresses: List<String>) {
         contacts = addresses.filter { it != self.peerAddress }
     }
 
@@ -111,7 +111,7 @@
     ) {
         val target = nextTarget()
         if (target != null) actions += direct(now, target)
-        if (target == null || round % settings.contactRounds == 0L) contact()?.let { actions += it }
+        if (target == null || round % settings.roundsPerContact == 0L) contact()?.let { actions += it }
         round++
     }
 
@@ -163,7 +163,7 @@
     }
 
     /** Takes in a probe from another router and returns the answer. */
-    public fun receive(
+    public fun onProbe(
         now: Long,
         message: MembershipMessage,
     ): MembershipMessage {
@@ -173,7 +173,7 @@
     }
 
     /** Takes in the [answer] to [probe]. */
-    public fun answered(
+    public fun onProbeAnswered(
         now: Long,
         probe: MembershipAction.Probe,
         answer: MembershipMessage,
@@ -203,7 +203,7 @@
     }
 
     /** Another router could reach the target of the probe with this [number]. */
-    public fun reached(number: Long) {
+    public fun onTargetReached(number: Long) {
         probes.remove(number)
     }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipMessage.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipMessage.kt
@@ -38,7 +38,7 @@
     public val number: Long
 
     /**
-     * Send [message] to the router at [address]; report the answer to [Membership.answered].
+     * Send [message] to the router at [address]; report the answer to [Membership.onProbeAnswered].
      *
      * @property target the router expected there; null when any may answer.
      */
@@ -49,7 +49,7 @@
         public val message: MembershipMessage,
     ) : MembershipAction
 
-    /** Ask [via] to probe [target]; report success to [Membership.reached]. */
+    /** Ask [via] to probe [target]; report success to [Membership.onTargetReached]. */
     public data class IndirectProbe(
         override val number: Long,
         public val via: Member,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipSettings.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipSettings.kt
@@ -14,7 +14,7 @@
  * @property recordsPerMessage news in one message.
  * @property pageRecords members in an answer to a router that knows about as many as the answering one.
  * @property joinPageRecords most members in an answer to a router that knows fewer.
- * @property contactRounds rounds between two attempts to reach a router outside the view.
+ * @property roundsPerContact rounds between two attempts to reach a router outside the view.
  * @property forgetAfter how long a dead router is remembered, and its address tried again.
  */
 public data class MembershipSettings(
@@ -23,7 +23,7 @@
     public val recordsPerMessage: Int = 8,
     public val pageRecords: Int = 2,
     public val joinPageRecords: Int = 40,
-    public val contactRounds: Int = 5,
+    public val roundsPerContact: Int = 5,
     public val forgetAfter: Duration = 6.hours,
 ) {
     /** Time without an answer after which other routers are asked to probe. */
--- a/decision/src/main/kotlin/dev/almondhaven/decision/order/EngineOrderPlan.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/order/EngineOrderPlan.kt
@@ -11,7 +11,7 @@
 public data class PlannedOrder(
     public val endpoint: Endpoint,
     public val versions: List<ModelVersionId>,
-    public val loads: Boolean,
+    public val startsLoad: Boolean,
 )
 
 /**
@@ -44,7 +44,10 @@
             if (load != null) allowance--
             val kept = report.desired.filter { it in wanted(endpoint) || !mayUnload(it, endpoint) }
             val versions = kept + listOfNotNull(load)
-            PlannedOrder(endpoint, versions, loads = load != null).takeIf { versions.toSet() != report.desired.toSet() }
+            PlannedOrder(endpoint, versions, startsLoad = load != null).takeIf {
+                versions.toSet() !=
+                    report.desired.toSet()
+            }
         }
     }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/retry/RetryBudget.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/retry/RetryBudget.kt
@@ -33,7 +33,7 @@
     }
 
     /** Spends one retry; false when the budget doesn't hold one. */
-    public fun tryRetry(): Boolean {
+    public fun trySpend(): Boolean {
         while (true) {
             val held = balance.get()
             if (held < UNITS_PER_RETRY) return false
--- a/decision/src/main/kotlin/dev/almondhaven/decision/retry/RetryPolicy.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/retry/RetryPolicy.kt
@@ -53,7 +53,7 @@
         if (failed.code !in RETRYABLE || failed.attempts >= maximumAttempts) return RetryDecision.GiveUp
         if (!failed.idempotent && failed.outcome != Outcome.NOT_RUN) return RetryDecision.GiveUp
         val delay = backoff.delay(failed.attempts, random)
-        if (delay >= failed.remaining || !budget.tryRetry()) return RetryDecision.GiveUp
+        if (delay >= failed.remaining || !budget.trySpend()) return RetryDecision.GiveUp
         return RetryDecision.Retry(delay)
     }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionTokens.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionTokens.kt
@@ -26,11 +26,11 @@
 /**
  * A verified token.
  *
- * @property outdated whether the token should be replaced: its key is no longer the signing one, or it is old.
+ * @property needsRenewal whether the token should be replaced: its key is no longer the signing one, or it is old.
  */
 public data class VerifiedToken(
     public val pin: SessionPin,
-    public val outdated: Boolean,
+    public val needsRenewal: Boolean,
 )
 
 /**
@@ -77,7 +77,7 @@
         return when {
             pin.key.organisation != organisation -> SessionTokenError.OTHER_ORGANISATION.left()
             age > maximumAge -> SessionTokenError.EXPIRED.left()
-            else -> VerifiedToken(pin, outdated = key !== signingKey || age > maximumAge / 2).right()
+            else -> VerifiedToken(pin, needsRenewal = key !== signingKey || age > maximumAge / 2).right()
         }
     }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionVersionRule.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionVersionResolver.kt
@@ -28,7 +28,7 @@
 }
 
 /** Decides which version a session's next request runs on. */
-public object SessionVersionRule {
+public object SessionVersionResolver {
     /**
      * The version itself while it is in service, otherwise the first version in service along the successors.
      * Withdrawal wins over the session; a version that is in service is never left.
--- a/decision/src/test/kotlin/dev/almondhaven/decision/billing/BillingPropertyTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/billing/BillingPropertyTest.kt
@@ -88,13 +88,13 @@
             val outbox = BillingOutbox(RouterId("a"))
             outbox.add(record("one"), now = 0)
             val batch = outbox.seal(now = 0, wallMillis = 1, force = true)!!
-            val tries = listOf(0L, 5L, 15L, 35L).map { outbox.due(it * SECOND, most = 1).size }
-            val before = outbox.due(40 * SECOND, most = 1)
+            val tries = listOf(0L, 5L, 15L, 35L).map { outbox.takeDue(it * SECOND, most = 1).size }
+            val before = outbox.takeDue(40 * SECOND, most = 1)
 
-            outbox.resendNow(40 * SECOND)
+            outbox.resetResendDelays(40 * SECOND)
 
             expectThat(tries to before).isEqualTo(listOf(1, 1, 1, 1) to emptyList())
-            expectThat(outbox.due(40 * SECOND, most = 1)).isEqualTo(listOf(batch))
+            expectThat(outbox.takeDue(40 * SECOND, most = 1)).isEqualTo(listOf(batch))
         }
 
         @Test
--- a/decision/src/test/kotlin/dev/almondhaven/decision/billing/BillingSimulation.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/billing/BillingSimulation.kt
@@ -44,7 +44,7 @@
     private inner class SimulatedRouter {
         val id = RouterId("router-${started++}")
         val outbox = BillingOutbox(id)
-        val copies = HeldCopies()
+        val copies = PeerBatchCopies()
         val waiting = LinkedHashMap<BatchName, SealedBatch>()
 
         /** Routers of which copies may be held. */
@@ -59,9 +59,9 @@
         fun tick() {
             outbox.seal(now, now / NANOS_PER_MILLI)
             val live = routers.map { it.id }.toSet()
-            outbox.uncopied(live, 10).forEach { copyToPeer(it) }
+            outbox.withoutCopy(live, 10).forEach { copyToPeer(it) }
             if (omitted != OmittedBilling.RESEND || now < QUIET_NANOS) {
-                outbox.due(now, 10).forEach { batch -> send { it.waiting[named(batch).name] = named(batch) } }
+                outbox.takeDue(now, 10).forEach { batch -> send { it.waiting[named(batch).name] = named(batch) } }
             }
             copies.takeOrphans(live, now).forEach { outbox.adopt(it, now) }
             if (copies.records == 0) copyOf.clear()
@@ -78,7 +78,7 @@
             repeat(random.nextInt(3)) {
                 messages += {
                     if (peer.alive && omitted != OmittedBilling.COPY_WITH_PEER) peer.hold(batch)
-                    if (peer.alive) messages += { outbox.copied(batch.name, peer.id) }
+                    if (peer.alive) messages += { outbox.markCopied(batch.name, peer.id) }
                     if (peer.alive && alive) owed += batch.records.map { it.request }
                 }
             }
@@ -114,7 +114,7 @@
         }
 
         private fun stored(name: BatchName) {
-            if (!alive || !outbox.stored(name)) return
+            if (!alive || !outbox.markStored(name)) return
             others().forEach { it.copies.release(listOf(name)) }
         }
     }
@@ -150,7 +150,7 @@
     private fun settled(): Boolean {
         val live = routers.map { it.id }.toSet()
         val orphaned = routers.any { holder -> holder.copyOf.any { it !in live } }
-        return now - lastLossAt > QUIET_NANOS && !orphaned && routers.all { it.outbox.uncopied(live, 1).isEmpty() }
+        return now - lastLossAt > QUIET_NANOS && !orphaned && routers.all { it.outbox.withoutCopy(live, 1).isEmpty() }
     }
 
     private fun lose(router: SimulatedRouter) {
--- a/decision/src/test/kotlin/dev/almondhaven/decision/claim/ClaimSimulation.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/claim/ClaimSimulation.kt
@@ -56,7 +56,7 @@
                 ShardStep.Read -> if (!shard.read(writer)) writer.onFailure(now)
                 is ShardStep.Write -> report(shard.put(step))
             }
-            writer.takeSettled().forEach { settled -> settled.token?.let { it.verdict(settled.verdict) } }
+            writer.drainSettled().forEach { settled -> settled.token?.let { it.verdict(settled.verdict) } }
         }
 
         private fun report(result: FaultyShard.PutResult) {
@@ -79,8 +79,8 @@
         }
 
         fun answerQuestion(attempt: Attempt): AttemptStatus {
-            if (omitted != Omitted.VOID_RULE) return ledger.ask(attempt, now)
-            val status = ledger.ask(attempt, now)
+            if (omitted != Omitted.VOID_RULE) return ledger.statusAt(attempt, now)
+            val status = ledger.statusAt(attempt, now)
             return if (status == AttemptStatus.Pending) AttemptStatus.Void else status
         }
     }
@@ -94,9 +94,9 @@
         val bound = now + BOUND_NANOS
         val arrivedAt = now
         private val attempt =
-            router.ledger.open(if (omitted == Omitted.DISPATCH_BOUND) Long.MAX_VALUE / 2 else bound)
+            router.ledger.issue(if (omitted == Omitted.DISPATCH_BOUND) Long.MAX_VALUE / 2 else bound)
         private val process =
-            ClaimProcess(ClaimRequest(key, body, claimedAt()), attempt, router.ledger)
+            ClaimStateMachine(ClaimRequest(key, body, claimedAt()), attempt, router.ledger)
         var sent = false
         var end = "none"
         var reused = false
@@ -116,8 +116,8 @@
                 is ClaimAction.Submit -> router.settle(action.operation, this)
                 is ClaimAction.Record -> router.settle(action.operation, null)
                 ClaimAction.Dispatch -> later(router) { dispatch() }
-                is ClaimAction.Ask -> ask(action.attempt)
-                ClaimAction.Pause -> later(router) { run(process.onPauseEnded()) }
+                is ClaimAction.QueryStatus -> ask(action.attempt)
+                ClaimAction.Delay -> later(router) { run(process.onDelayElapsed()) }
                 ClaimAction.Deliver -> end = "delivered"
                 is ClaimAction.Replay -> end = "replayed"
                 is ClaimAction.Refuse -> refuse(action)
@@ -146,14 +146,14 @@
         private fun dispatch() {
             val passed = random.nextInt(6) > 0 && router.ledger.tryDispatch(attempt, now)
             if (passed && random.nextInt(8) == 0) {
-                router.ledger.notSent(attempt)
+                router.ledger.undoDispatch(attempt)
             } else if (passed) {
                 send()
             }
             val answered = sent && random.nextInt(4) > 0
-            val answer = RecordedAnswer(200, "text/plain", "").takeIf { random.nextBoolean() }
+            val answer = RecordedResponse(200, "text/plain", "").takeIf { random.nextBoolean() }
             later(router) {
-                run(process.onDispatchEnded(if (answered) DispatchEnd.Answered(answer) else DispatchEnd.Failed))
+                run(process.onDispatchResult(if (answered) DispatchResult.Answered(answer) else DispatchResult.Failed))
             }
         }
 
--- a/decision/src/test/kotlin/dev/almondhaven/decision/lease/LeaseModel.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/lease/LeaseModel.kt
@@ -63,23 +63,23 @@
 
         private fun read() {
             val found = if (random.nextInt(10) == 0) earlier else stored
-            if (random.nextInt(10) == 0) lease.failed() else lease.read(clock, found)
+            if (random.nextInt(10) == 0) lease.onFailure() else lease.onRead(clock, found)
         }
 
         private fun write(call: LeaseCall.Write) {
             when (random.nextInt(6)) {
-                0 -> lease.failed()
-                1 -> apply(call).also { lease.failed() }
-                2 -> later(random.nextLong(LATEST_WRITE.inWholeNanoseconds)) { apply(call) }.also { lease.failed() }
-                else -> apply(call)?.let { lease.written(clock, it) } ?: lease.conflicted()
+                0 -> lease.onFailure()
+                1 -> apply(call).also { lease.onFailure() }
+                2 -> later(random.nextLong(LATEST_WRITE.inWholeNanoseconds)) { apply(call) }.also { lease.onFailure() }
+                else -> apply(call)?.let { lease.onWritten(clock, it) } ?: lease.onConflict()
             }
         }
 
         private fun order() {
-            val fencing = lease.fencing(clock) ?: return
+            val fencing = lease.fencingToken(clock) ?: return
             val hesitation = random.nextLong(longestHesitation.inWholeNanoseconds + 1)
             pausedUntil = maxOf(pausedUntil, now + hesitation)
-            val transit = random.nextLong(settings.longestOrder.inWholeNanoseconds)
+            val transit = random.nextLong(settings.orderLifetime.inWholeNanoseconds)
             later(hesitation + transit) { arrive(fencing) }
         }
     }
@@ -100,7 +100,7 @@
 
     private fun arrive(fencing: Long) {
         if (honoursFencing && fencing < highestAccepted) return
-        val newest = if (honoursFencing) highestAccepted else routers.maxOf { it.lease.fencing(it.clock) ?: 0 }
+        val newest = if (honoursFencing) highestAccepted else routers.maxOf { it.lease.fencingToken(it.clock) ?: 0 }
         if (fencing < maxOf(newest, highestAccepted)) violations += "order of $fencing after $newest at $now"
         highestAccepted = maxOf(highestAccepted, fencing)
         accepted++
--- a/decision/src/test/kotlin/dev/almondhaven/decision/lease/LeaseTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/lease/LeaseTest.kt
@@ -83,7 +83,7 @@
 
         @Test
         fun `with a successor that doesn't wait out the term`() {
-            val hasty = settings.copy(term = 3.seconds, renewEvery = 1.seconds, margin = 1.seconds)
+            val hasty = settings.copy(term = 3.seconds, renewInterval = 1.seconds, margin = 1.seconds)
 
             expectThat(schedules { ignoring(it, settings, hasty) }.violations.size).isGreaterThan(0)
         }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/limit/FairQueueTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/limit/FairQueueTest.kt
@@ -69,10 +69,10 @@
 
         @Test
         fun `beyond the bound are refused`() {
-            val queue = FairQueue<String>(longestQueue = 2)
+            val queue = FairQueue<String>(maxQueueLength = 2)
             val results = List(3) { queue.offer(request("a"), 0) }
 
-            expectThat(results.last()).isA<Enqueued.Refused>()
+            expectThat(results.last()).isA<EnqueueResult.Refused>()
             expectThat(queue.size).isEqualTo(2)
         }
     }
@@ -91,7 +91,7 @@
             val now = 5.seconds.inWholeNanoseconds
             val result = served().offer(request("a", latestStart = now + 1.seconds.inWholeNanoseconds), now)
 
-            expectThat(result).isA<Enqueued.Refused>().get { retryAfter.inWholeSeconds }.isEqualTo(5)
+            expectThat(result).isA<EnqueueResult.Refused>().get { retryAfter.inWholeSeconds }.isEqualTo(5)
         }
 
         @Test
--- a/decision/src/test/kotlin/dev/almondhaven/decision/limit/FleetShareTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/limit/FleetShareTest.kt
@@ -68,7 +68,7 @@
                     val new = routers(after)
                     val total =
                         old.withIndex().sumOf { (place, router) ->
-                            val share = SettledShare("engine", router)
+                            val share = RecentMinimumShare("engine", router)
                             val first = share.of(limit, old, now = 0)
                             val knows = (informed shr (place % 10)) and 1 == 1
                             if (knows) share.of(limit, new, 1.seconds.inWholeNanoseconds) else first
@@ -88,7 +88,7 @@
                 val uses = Arb.list(Arb.int(0..50), 1..62)
                 checkAll(PropTestConfig(seed = 47), Arb.int(1..2_000), uses) { limit, own ->
                     val fleet = own.sum().toDouble()
-                    val parts = own.sumOf { PooledShare.of(limit.toDouble(), it.toDouble(), fleet, own.size) }
+                    val parts = own.sumOf { UsageBasedShare.of(limit.toDouble(), it.toDouble(), fleet, own.size) }
 
                     expectThat(parts).isLessThanOrEqualTo(limit + 1e-6)
                 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/membership/MembershipTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/membership/MembershipTest.kt
@@ -27,7 +27,7 @@
         from: String,
         vararg records: MemberRecord,
         incarnation: Long = 0,
-    ): MembershipMessage = membership.receive(now, MembershipMessage(member(from), incarnation, records.toList()))
+    ): MembershipMessage = membership.onProbe(now, MembershipMessage(member(from), incarnation, records.toList()))
 
     private fun ids(): List<String> = membership.view.members.map { it.id.value }
 
@@ -88,7 +88,7 @@
 
         @Test
         fun `looks at addresses outside its view`() {
-            membership.lookAt(listOf("10.0.0.9:1"))
+            membership.setContactAddresses(listOf("10.0.0.9:1"))
             val probes = silence(1.seconds).filterIsInstance<MembershipAction.Probe>()
 
             expectThat(probes.map { it.address }.distinct()).containsExactly("10.0.0.9:1")
@@ -97,7 +97,7 @@
         @Test
         fun `sends messages whose size doesn't depend on the fleet's`() {
             val page = (1..300).map { MemberRecord(member("m$it"), 0) }
-            membership.receive(now, MembershipMessage(member("b"), 0, page))
+            membership.onProbe(now, MembershipMessage(member("b"), 0, page))
             val probes = silence(10.seconds).filterIsInstance<MembershipAction.Probe>()
 
             expectThat(probes.maxOf { it.message.records.size }).isLessThanOrEqualTo(settings.recordsPerMessage + 1)
--- a/decision/src/test/kotlin/dev/almondhaven/decision/order/EngineOrderPlanTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/order/EngineOrderPlanTest.kt
@@ -147,7 +147,7 @@
         orders.forEach { engines.take(it) }
         before.forEach { expectThat(engines.warm(it.id)).isGreaterThan(0) }
         engines.work()
-        return orders.count { it.loads }
+        return orders.count { it.startsLoad }
     }
 
     private companion object {
--- a/decision/src/test/kotlin/dev/almondhaven/decision/retry/RetryBudgetTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/retry/RetryBudgetTest.kt
@@ -33,7 +33,7 @@
                     successes.forEach {
                         if (it) {
                             budget.recordSuccess()
-                        } else if (budget.tryRetry()) {
+                        } else if (budget.trySpend()) {
                             retries++
                         }
                     }
@@ -47,7 +47,7 @@
         fun `end with the capacity in an outage`() {
             val budget = RetryBudget()
 
-            expectThat((1..10_000).count { budget.tryRetry() }).isEqualTo(RetryBudget.DEFAULT_CAPACITY)
+            expectThat((1..10_000).count { budget.trySpend() }).isEqualTo(RetryBudget.DEFAULT_CAPACITY)
         }
     }
 
--- a/decision/src/test/kotlin/dev/almondhaven/decision/session/SessionTokensTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/session/SessionTokensTest.kt
@@ -34,7 +34,7 @@
             val other = SessionTokens(listOf(march), "march", 10.hours)
 
             expectThat(other.verify(inMarch.issue(pin), roofers, now = 1))
-                .isEqualTo(VerifiedToken(pin, outdated = false).right())
+                .isEqualTo(VerifiedToken(pin, needsRenewal = false).right())
         }
 
         @Test
@@ -45,9 +45,11 @@
             val old = added.issue(pin)
             val renewed = signing.issue(pin)
 
-            expectThat(signing.verify(old, roofers, now = 1)).isEqualTo(VerifiedToken(pin, outdated = true).right())
-            expectThat(added.verify(renewed, roofers, now = 1)).isEqualTo(VerifiedToken(pin, outdated = true).right())
-            expectThat(removed.verify(renewed, roofers, 1)).isEqualTo(VerifiedToken(pin, outdated = false).right())
+            expectThat(signing.verify(old, roofers, now = 1)).isEqualTo(VerifiedToken(pin, needsRenewal = true).right())
+            expectThat(
+                added.verify(renewed, roofers, now = 1),
+            ).isEqualTo(VerifiedToken(pin, needsRenewal = true).right())
+            expectThat(removed.verify(renewed, roofers, 1)).isEqualTo(VerifiedToken(pin, needsRenewal = false).right())
             expectThat(removed.verify(old, roofers, now = 1)).isEqualTo(SessionTokenError.UNKNOWN_KEY.left())
         }
 
@@ -62,7 +64,7 @@
             val token = inMarch.issue(pin)
 
             expectThat(inMarch.verify(token, roofers, 6.hoursLater()))
-                .isEqualTo(VerifiedToken(pin, outdated = true).right())
+                .isEqualTo(VerifiedToken(pin, needsRenewal = true).right())
             expectThat(inMarch.verify(token, roofers, 11.hoursLater())).isEqualTo(SessionTokenError.EXPIRED.left())
         }
 
--- a/decision/src/test/kotlin/dev/almondhaven/decision/session/SessionVersionRuleTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/session/SessionVersionResolverTest.kt
@@ -26,7 +26,7 @@
 import strikt.assertions.isEqualTo
 import strikt.assertions.isTrue
 
-class SessionVersionRuleTest {
+class SessionVersionResolverTest {
     private val roofers = OrganisationId("roofers")
 
     private fun version(
@@ -53,7 +53,7 @@
 
     private fun id(version: String) = ModelVersionId.parse("slate@$version")
 
-    private fun CatalogueIndex.resolve(version: String) = SessionVersionRule.resolve(this, roofers, id(version))
+    private fun CatalogueIndex.resolve(version: String) = SessionVersionResolver.resolve(this, roofers, id(version))
 
     @Nested
     inner class `a session` {
@@ -111,7 +111,7 @@
                         val named = successor.takeIf { it != withdrawn }?.toString()
                         versions[withdrawn] = version("$withdrawn", named, withdrawn = true)
                         val index = index(*versions)
-                        val next = SessionVersionRule.resolve(index, roofers, pinned)
+                        val next = SessionVersionResolver.resolve(index, roofers, pinned)
                         val stillServes = index.mayRun(roofers, pinned)
                         expectThat(next.fold({ !stillServes }, { (it == pinned) == stillServes })).isTrue()
                         expectThat(next.fold({ true }, { index.mayRun(roofers, it) })).isTrue()
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/RepeatWindowTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/RepeatWindowTest.kt
@@ -97,7 +97,7 @@
                     served { window.trySpend(it, part = 0.8) },
                     served {
                         store.available >= 3 &&
-                            store.tryRetry()
+                            store.trySpend()
                     },
                 ),
             ).isEqualTo(listOf(12, 3))
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.decision.claim.ClaimPlacement
 import dev.almondhaven.decision.claim.ClaimShard
 import dev.almondhaven.decision.claim.Digest
-import dev.almondhaven.decision.claim.RecordedAnswer
+import dev.almondhaven.decision.claim.RecordedResponse
 import dev.almondhaven.decision.claim.ShardStep
 import dev.almondhaven.decision.claim.ShardVersion
 import dev.almondhaven.decision.claim.ShardWriter
@@ -127,7 +127,7 @@
                 ShardStep.Read -> call(process.reads, reads) { read() }
                 is ShardStep.Write -> call(process.writes, writes) { write(step) }
             }
-            writer.takeSettled().forEach { ended(shard, it.token) }
+            writer.drainSettled().forEach { ended(shard, it.token) }
         }
 
         private fun wake(at: Long) {
@@ -199,7 +199,7 @@
     private fun claim() {
         claims++
         val key = ClaimKey(OrganisationId("roofers"), ServiceId("orders"), keyText())
-        val placement = ClaimPlacement.of(key, now / NANOS_PER_MILLI) as ClaimPlacement.In
+        val placement = ClaimPlacement.of(key, now / NANOS_PER_MILLI) as ClaimPlacement.InShard
         val attempt = Attempt(RouterId("west-1f2e3d4c5b6a7980"), claims.toLong())
         val claim = ClaimOperation.Claim(key.digest, attempt, Digest.of(byteArrayOf(1)), now / NANOS_PER_MILLI)
         driver(placement.shard).submit(Token(now, claim))
@@ -255,6 +255,6 @@
         const val READS_PER_SECOND = 1_500.0
         const val ANSWER_BYTES = 200
         val ANSWER =
-            RecordedAnswer(200, "application/json", Base64.getEncoder().encodeToString(ByteArray(ANSWER_BYTES)))
+            RecordedResponse(200, "application/json", Base64.getEncoder().encodeToString(ByteArray(ANSWER_BYTES)))
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/configuration/SessionExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/configuration/SessionExperiment.kt
@@ -9,7 +9,7 @@
 import dev.almondhaven.decision.session.SessionPin
 import dev.almondhaven.decision.session.SessionSigningKey
 import dev.almondhaven.decision.session.SessionTokens
-import dev.almondhaven.decision.session.SessionVersionRule
+import dev.almondhaven.decision.session.SessionVersionResolver
 import dev.almondhaven.experiments.Experiment
 import dev.almondhaven.experiments.ExperimentReport
 import dev.almondhaven.experiments.ExperimentReport.Companion.number
@@ -48,7 +48,7 @@
     }
 
     private fun resolve(index: CatalogueIndex): Int =
-        SessionVersionRule.resolve(index, organisation, pin.version).hashCode()
+        SessionVersionResolver.resolve(index, organisation, pin.version).hashCode()
 
     /** A catalogue in which the pinned version has [links] withdrawn versions before one in service. */
     private fun index(links: Int): CatalogueIndex {
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/DistributionExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/DistributionExperiment.kt
@@ -21,7 +21,7 @@
 
     private val variants =
         listOf(
-            Variant("every router watches", WatchPlan(everyRouterUpTo = Int.MAX_VALUE)),
+            Variant("every router watches", WatchPlan(fullWatchFleetSize = Int.MAX_VALUE)),
             Variant("two watchers a domain", WatchPlan()),
         )
 
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualRouter.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualRouter.kt
@@ -29,7 +29,7 @@
     private val catalogues = CatalogueHolder()
     private val now: Long get() = fleet.scheduler.now
     private val freshness = ConfigurationFreshness(STALE_AFTER, now)
-    private val membership = Membership(self, MembershipSettings(), random, now).also { it.lookAt(seeds) }
+    private val membership = Membership(self, MembershipSettings(), random, now).also { it.setContactAddresses(seeds) }
     private val holder =
         object : ConfigurationHolder {
             override val catalogue: Catalogue get() = catalogues.catalogue
@@ -128,7 +128,7 @@
     ) {
         fleet.network.post(this, request.to, request.path, request.body) { answer ->
             whenRunning {
-                exchange.completed(now, request, answer).forEach(::send)
+                exchange.onCompleted(now, request, answer).forEach(::send)
                 answered(answer != null)
             }
         }
@@ -158,7 +158,7 @@
     ) {
         when (changed) {
             true -> return read(domain, now)
-            false -> seen?.let { freshness.confirmed(it.generation, askedAt) }
+            false -> seen?.let { freshness.recordConfirmation(it.generation, askedAt) }
             null -> Unit
         }
         ended(changed != null)
@@ -171,7 +171,7 @@
         if (head != null) {
             seen = head
             holder.offer(head)
-            freshness.confirmed(head.generation, askedAt)
+            freshness.recordConfirmation(head.generation, askedAt)
         }
         ended(head != null)
     }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/OverloadExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/OverloadExperiment.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.experiments.serving
 
-import dev.almondhaven.decision.limit.Enqueued
+import dev.almondhaven.decision.limit.EnqueueResult
 import dev.almondhaven.decision.limit.FairQueue
 import dev.almondhaven.decision.limit.QueuedRequest
 import dev.almondhaven.experiments.Experiment
@@ -52,7 +52,7 @@
             val request = QueuedRequest(loop.now, id, 1.0, 1.0, latestStart)
             if (!fair) {
                 inOrder += request
-            } else if (queue.offer(request, loop.now) is Enqueued.Refused) {
+            } else if (queue.offer(request, loop.now) is EnqueueResult.Refused) {
                 refused++
             }
             serve()
--- a/operator/src/main/kotlin/dev/almondhaven/operator/BillCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/BillCommands.kt
@@ -52,8 +52,8 @@
     override fun run() {
         val statement = readStatement(platform.objects, from, to)
         echo(
-            "${statement.records.size} requests, ${statement.repeatedBatches} batches stored more than once, " +
-                "${statement.repeatedRequests} records repeated",
+            "${statement.records.size} requests, ${statement.duplicateBatches} batches stored more than once, " +
+                "${statement.duplicateRequests} records repeated",
         )
         if (statement.conflictingRequests.isEmpty()) return
         val listed = statement.conflictingRequests.joinToString("") { "\n  $it" }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/Explanation.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/Explanation.kt
@@ -11,7 +11,7 @@
 import dev.almondhaven.decision.choice.VersionEstimate
 import dev.almondhaven.decision.rollout.RollOutStage
 import dev.almondhaven.decision.session.SessionRefusal
-import dev.almondhaven.decision.session.SessionVersionRule
+import dev.almondhaven.decision.session.SessionVersionResolver
 import dev.almondhaven.model.ModelId
 import dev.almondhaven.model.ModelVersionId
 import dev.almondhaven.model.OrganisationId
@@ -52,7 +52,7 @@
         val organisation = index.organisation(question.organisation) ?: return listOf("no such organisation")
         val pinned =
             question.pinned?.let { version ->
-                SessionVersionRule
+                SessionVersionResolver
                     .resolve(index, organisation.id, version)
                     .fold({ return listOf(describe(it)) }, { it })
             }
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/Billing.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/Billing.kt
@@ -5,8 +5,8 @@
 import dev.almondhaven.billing.BillingRecord
 import dev.almondhaven.billing.SealedBatch
 import dev.almondhaven.decision.billing.BillingOutbox
-import dev.almondhaven.decision.billing.HeldCopies
 import dev.almondhaven.decision.billing.OutboxLimits
+import dev.almondhaven.decision.billing.PeerBatchCopies
 import dev.almondhaven.decision.membership.Member
 import dev.almondhaven.decision.membership.RendezvousHash
 import dev.almondhaven.model.LogEvent
@@ -41,8 +41,8 @@
     private val network: PeerNetwork,
     metrics: RouterMetrics,
 ) : AutoCloseable {
-    private val outbox = BillingOutbox(network.self.id, OutboxLimits(records = settings.records))
-    private val copies = HeldCopies(settings.records)
+    private val outbox = BillingOutbox(network.self.id, OutboxLimits(maxRecords = settings.records))
+    private val copies = PeerBatchCopies(settings.records)
     private val mostCopies = settings.records
     private val askedBy = ConcurrentHashMap<BatchName, Member>()
     private val released = ArrayList<BatchName>()
@@ -90,15 +90,15 @@
     }
 
     private fun stored(message: BillingMessage.Stored) {
-        message.names.forEach { if (outbox.stored(it)) released += it }
-        outbox.resendNow(clock.nanos())
+        message.names.forEach { if (outbox.markStored(it)) released += it }
+        outbox.resetResendDelays(clock.nanos())
     }
 
     /** Stores everything by this router itself: the router that writes for the failure domain may be stopping too. */
     private fun flush() {
         closing = true
         seal(force = true)
-        outbox.makeAllDue(clock.nanos())
+        outbox.resendAllNow(clock.nanos())
     }
 
     private fun holdCopies(message: HoldCopies) {
@@ -109,7 +109,7 @@
     private fun tick() {
         seal(force = false)
         copyToPeer()
-        outbox.due(clock.nanos(), BATCHES_AT_ONCE).forEach(::sendToWriter)
+        outbox.takeDue(clock.nanos(), BATCHES_AT_ONCE).forEach(::sendToWriter)
         val live = live()
         copies.takeOrphans(live, clock.nanos()).forEach(::adopt)
     }
@@ -149,7 +149,7 @@
     /** Sends a peer copies of what it doesn't hold, and tells it what it need not hold any longer. */
     private fun copyToPeer() {
         val peer = peerForCopies() ?: return
-        val batches = outbox.uncopied(live(), BATCHES_AT_ONCE).filter { asked.add(it.name) }
+        val batches = outbox.withoutCopy(live(), BATCHES_AT_ONCE).filter { asked.add(it.name) }
         if (batches.isEmpty() && released.size < RELEASED_AT_ONCE) return
         val message = HoldCopies(batches, released.toList())
         released.clear()
@@ -165,7 +165,7 @@
 
     private fun copied(message: BillingMessage.Copied) {
         asked -= message.names.toSet()
-        message.holder?.let { holder -> message.names.forEach { outbox.copied(it, holder) } }
+        message.holder?.let { holder -> message.names.forEach { outbox.markCopied(it, holder) } }
     }
 
     private fun sendToWriter(batch: SealedBatch) {
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
@@ -57,7 +57,7 @@
         }
         val key = ClaimKey(exchange.organisation.id, call.service, text)
         return when (val placement = ClaimPlacement.of(key, wallMillis())) {
-            is ClaimPlacement.In -> {
+            is ClaimPlacement.InShard -> {
                 PlacedRequest(placement.shard, request(exchange, call, key)).right()
             }
 
@@ -66,9 +66,9 @@
                     .left()
             }
 
-            is ClaimPlacement.Ahead -> {
-                if (placement.certain) exchange.journal.recordFirstUse()
-                val outcome = if (placement.certain) Outcome.NOT_RUN else Outcome.UNKNOWN
+            is ClaimPlacement.InFuture -> {
+                if (placement.neverAccepted) exchange.journal.recordFirstUse()
+                val outcome = if (placement.neverAccepted) Outcome.NOT_RUN else Outcome.UNKNOWN
                 Refusal(ResultCode.CLAIM_KEY_AHEAD, "the key's time is in the future", outcome).left()
             }
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeers.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeers.kt
@@ -110,7 +110,7 @@
     /** The status of [attempt] by its holder; null if the holder can't be reached. */
     fun ask(attempt: Attempt): CompletableFuture<AttemptStatus?> {
         if (attempt.holder == view().self.id) {
-            return CompletableFuture.completedFuture(ledger.ask(attempt, clock.nanos()))
+            return CompletableFuture.completedFuture(ledger.statusAt(attempt, clock.nanos()))
         }
         val holder = memberOrNull(attempt) ?: return CompletableFuture.completedFuture(null)
         val message = AttemptQuestion(attempt)
@@ -144,7 +144,7 @@
         val question = json.decodeFromString(AttemptQuestion.serializer(), body)
         return json.encodeToString(
             AttemptAnswer.serializer(),
-            AttemptAnswer(ledger.ask(question.attempt, clock.nanos())),
+            AttemptAnswer(ledger.statusAt(question.attempt, clock.nanos())),
         )
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
@@ -34,7 +34,7 @@
         var deleted = 0
         while (deleted < MOST_DELETIONS) {
             val page = objects.list(ClaimPlacement.DATED_PREFIX, limit = PAGE).getOrNull() ?: break
-            val due = page.objects.filter { ClaimPlacement.deletable(ClaimShard(it.key.value), wallMillis()) }
+            val due = page.objects.filter { ClaimPlacement.isDeletable(ClaimShard(it.key.value), wallMillis()) }
             val done = due.count { objects.delete(it.key, it.version).isRight() }
             deleted += done
             if (done < PAGE) break
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriters.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriters.kt
@@ -89,7 +89,7 @@
 
         private fun pumpAll() {
             shards.values.forEach { it.pump() }
-            shards.values.removeIf { it.writer.pending == 0 && clock.elapsed(it.usedAt) > IDLE_SHARD }
+            shards.values.removeIf { it.writer.pendingCount == 0 && clock.elapsed(it.usedAt) > IDLE_SHARD }
         }
     }
 
@@ -111,7 +111,7 @@
                         ShardStep.Read -> read()
                         is ShardStep.Write -> write(step)
                     }
-                writer.takeSettled().forEach { it.token.complete(it.verdict) }
+                writer.drainSettled().forEach { it.token.complete(it.verdict) }
             }
         }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCall.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCall.kt
@@ -5,11 +5,11 @@
 import com.linecorp.armeria.common.MediaType
 import dev.almondhaven.decision.claim.AttemptLedger
 import dev.almondhaven.decision.claim.ClaimAction
-import dev.almondhaven.decision.claim.ClaimProcess
 import dev.almondhaven.decision.claim.ClaimRequest
 import dev.almondhaven.decision.claim.ClaimShard
-import dev.almondhaven.decision.claim.DispatchEnd
-import dev.almondhaven.decision.claim.RecordedAnswer
+import dev.almondhaven.decision.claim.ClaimStateMachine
+import dev.almondhaven.decision.claim.DispatchResult
+import dev.almondhaven.decision.claim.RecordedResponse
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.Outcome
@@ -28,7 +28,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Carries out what a [ClaimProcess] decides, on the exchange's event loop. */
+/** Carries out what a [ClaimStateMachine] decides, on the exchange's event loop. */
 internal class ClaimedCall(
     private val shard: ClaimShard,
     request: ClaimRequest,
@@ -39,8 +39,8 @@
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
 ) : DispatchGate {
-    private val attempt = ledger.open(dispatchBy)
-    private val process = ClaimProcess(request, attempt, ledger)
+    private val attempt = ledger.issue(dispatchBy)
+    private val process = ClaimStateMachine(request, attempt, ledger)
     private val answer = CompletableFuture<Answer>()
     private var dispatching = false
 
@@ -61,7 +61,7 @@
 
     override fun tryPass(): Boolean = ledger.tryDispatch(attempt, clock.nanos())
 
-    override fun notSent(): Unit = ledger.notSent(attempt)
+    override fun notSent(): Unit = ledger.undoDispatch(attempt)
 
     private fun run(actions: List<ClaimAction>): Unit = actions.forEach(::run)
 
@@ -70,22 +70,22 @@
             is ClaimAction.Submit -> submit(action)
             is ClaimAction.Record -> peers.settle(shard, action.operation)
             ClaimAction.Dispatch -> dispatch()
-            is ClaimAction.Ask -> if (action.later) later { ask(action) } else ask(action)
-            ClaimAction.Pause -> later { run(process.onPauseEnded()) }
+            is ClaimAction.QueryStatus -> if (action.afterDelay) later { ask(action) } else ask(action)
+            ClaimAction.Delay -> later { run(process.onDelayElapsed()) }
             ClaimAction.Deliver, is ClaimAction.Fail -> error("only at the end of a dispatch: $action")
-            is ClaimAction.Replay -> replay(action.answer)
+            is ClaimAction.Replay -> replay(action.response)
             is ClaimAction.Refuse -> refuse(action)
         }
     }
 
     private fun submit(action: ClaimAction.Submit) {
         peers.settle(shard, action.operation).whenCompleteAsync(
-            { verdict, failure -> run(if (failure == null) process.onVerdict(verdict) else process.onDropped()) },
+            { verdict, failure -> run(if (failure == null) process.onVerdict(verdict) else process.onRejected()) },
             exchange.eventLoop,
         )
     }
 
-    private fun ask(action: ClaimAction.Ask) {
+    private fun ask(action: ClaimAction.QueryStatus) {
         peers.ask(action.attempt).whenCompleteAsync(
             { status, _ -> run(process.onStatus(action.attempt, status, peers.holderLives(action.attempt))) },
             exchange.eventLoop,
@@ -108,8 +108,8 @@
 
     private fun ended(result: Answer) {
         val refusal = (result as? Answer.Refused)?.refusal
-        val end = if (refusal == null) DispatchEnd.Answered(kept(result)) else DispatchEnd.Failed
-        process.onDispatchEnded(end).forEach { action ->
+        val end = if (refusal == null) DispatchResult.Answered(kept(result)) else DispatchResult.Failed
+        process.onDispatchResult(end).forEach { action ->
             when {
                 action == ClaimAction.Deliver -> answer.complete(result)
                 action is ClaimAction.Fail && refusal != null -> fail(refusal, action.outcome)
@@ -127,13 +127,13 @@
         answer.complete(Answer.Refused(refusal.copy(outcome = outcome)))
     }
 
-    private fun kept(result: Answer): RecordedAnswer? {
+    private fun kept(result: Answer): RecordedResponse? {
         val whole = (result as? Answer.Whole)?.takeIf { it.body.length() <= KEPT_ANSWER_BYTES } ?: return null
         val body = Base64.getEncoder().encodeToString(whole.body.array())
-        return RecordedAnswer(whole.status.code(), whole.contentType.toString(), body)
+        return RecordedResponse(whole.status.code(), whole.contentType.toString(), body)
     }
 
-    private fun replay(kept: RecordedAnswer) {
+    private fun replay(kept: RecordedResponse) {
         exchange.journal.addAnswerHeader("x-almondhaven-replayed", "true")
         val body = HttpData.wrap(Base64.getDecoder().decode(kept.body))
         answer.complete(Answer.Whole(HttpStatus.valueOf(kept.status), MediaType.parse(kept.contentType), body))
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ConfigurationWatcher.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ConfigurationWatcher.kt
@@ -92,7 +92,7 @@
         return objects.watch(ConfigurationStore.HEAD_KEY.value, watchFrom, watchWait).flatMap { result ->
             if (result.changes.isNotEmpty()) return readHead()
             watchFrom = result.revision
-            headGeneration?.let { freshness.confirmed(it, askedAt) }
+            headGeneration?.let { freshness.recordConfirmation(it, askedAt) }
             Unit.right()
         }
     }
@@ -104,7 +104,7 @@
         val catalogue = value?.let { ConfigurationStore.decode(it).catalogue } ?: return
         holder.offer(catalogue)
         headGeneration = catalogue.generation.takeUnless { holder.diverges(catalogue) }
-        headGeneration?.let { freshness.confirmed(it, askedAt) }
+        headGeneration?.let { freshness.recordConfirmation(it, askedAt) }
         if (catalogue.generation < holder.generation) {
             LogEvent.CONFIGURATION_STALE_READ.log(logger) { "read=${catalogue.generation} held=${holder.generation}" }
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/WaitingRoom.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/WaitingRoom.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.router.endpoint
 
 import dev.almondhaven.decision.endpoint.EndpointChoice
-import dev.almondhaven.decision.limit.Enqueued
+import dev.almondhaven.decision.limit.EnqueueResult
 import dev.almondhaven.decision.limit.FairQueue
 import dev.almondhaven.decision.limit.QueuedRequest
 import dev.almondhaven.model.NanoClock
@@ -86,8 +86,8 @@
     private fun admit(message: Message.Enter) {
         val queue = queues.getOrPut(message.key) { FairQueue() }
         when (val result = queue.offer(message.request, clock.nanos())) {
-            is Enqueued.Refused -> leave(message.key, message.request, Turn.Refused(result.retryAfter))
-            Enqueued.Waiting -> serve(message.key, queue)
+            is EnqueueResult.Refused -> leave(message.key, message.request, Turn.Refused(result.retryAfter))
+            EnqueueResult.Waiting -> serve(message.key, queue)
         }
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/AdmissionFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/AdmissionFilter.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.router.filter
 
-import dev.almondhaven.decision.limit.OrganisationUse
+import dev.almondhaven.decision.limit.OrganisationLimiter
 import dev.almondhaven.model.Refusal
 import dev.almondhaven.model.ResultCode
 import dev.almondhaven.router.limit.UsageLimiter
@@ -41,7 +41,7 @@
     private fun reserve(
         exchange: Exchange,
         call: Call.Model,
-        use: OrganisationUse,
+        use: OrganisationLimiter,
     ): CompletableFuture<Answer>? {
         val estimate = estimate(exchange, call)
         val wait = use.reserve(estimate)
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/SessionFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/SessionFilter.kt
@@ -8,7 +8,7 @@
 import dev.almondhaven.decision.session.SessionPin
 import dev.almondhaven.decision.session.SessionRefusal
 import dev.almondhaven.decision.session.SessionTokens
-import dev.almondhaven.decision.session.SessionVersionRule
+import dev.almondhaven.decision.session.SessionVersionResolver
 import dev.almondhaven.decision.session.VerifiedToken
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.ModelVersionId
@@ -83,7 +83,7 @@
                     if (pin == null) {
                         begin(exchange, id, known = true, next)
                     } else {
-                        resume(exchange, call, VerifiedToken(pin, outdated = true), token = null, next)
+                        resume(exchange, call, VerifiedToken(pin, needsRenewal = true), token = null, next)
                     }
                 },
                 exchange.eventLoop,
@@ -123,7 +123,7 @@
     ): CompletableFuture<Answer> {
         val pin = session.pin
         val version =
-            SessionVersionRule
+            SessionVersionResolver
                 .resolve(holder.index, exchange.organisation.id, pin.version)
                 .fold({ return refuse(refusal(it)) }, { it })
         if (!agrees(exchange, call.selector, pin, version)) return refuse(otherModel(call.selector, version))
@@ -131,8 +131,8 @@
         val current = if (moved) pin.movedTo(version) else pin
         if (moved) move(exchange, pin, current)
         return next.handle(exchange.pinnedTo(version)).thenApply { answer ->
-            val renewed = if (session.outdated) current.copy(issuedAt = epochMillis()) else current
-            if (moved || session.outdated) announce(exchange, renewed) else echo(exchange, token)
+            val renewed = if (session.needsRenewal) current.copy(issuedAt = epochMillis()) else current
+            if (moved || session.needsRenewal) announce(exchange, renewed) else echo(exchange, token)
             answer
         }
     }
@@ -165,7 +165,7 @@
 
             is ModelSelector.Version -> {
                 selector.id == pin.version ||
-                    SessionVersionRule.resolve(holder.index, exchange.organisation.id, selector.id).getOrNull() ==
+                    SessionVersionResolver.resolve(holder.index, exchange.organisation.id, selector.id).getOrNull() ==
                     version
             }
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.router.limit
 
-import dev.almondhaven.decision.limit.Use
+import dev.almondhaven.decision.limit.OrganisationUsage
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.OrganisationId
@@ -49,20 +49,20 @@
     override val name: String get() = "usage"
 
     /** Sets what this router tells the others. */
-    public fun tell(uses: Map<OrganisationId, Use>) {
+    public fun tell(uses: Map<OrganisationId, OrganisationUsage>) {
         val words = uses.map { (id, use) -> OrganisationWord(id, use.inFlight, use.tokensPerMinute) }
         own = RouterWord(fleet.self.id, own.sequence + 1, words)
     }
 
     /** What the other live routers use of [organisation]'s limits, by their last word. */
-    public fun othersUse(organisation: OrganisationId): Use {
+    public fun othersUse(organisation: OrganisationId): OrganisationUsage {
         val now = clock.nanos()
         val live = fleet.members.mapTo(HashSet()) { it.id }
         heard.values.removeIf { it.word.router !in live || now - it.at > PATIENCE.inWholeNanoseconds }
         return heard.values
             .flatMap { it.word.uses }
             .filter { it.organisation == organisation }
-            .fold(Use.NONE) { sum, word -> sum + Use(word.inFlight, word.tokensPerMinute) }
+            .fold(OrganisationUsage.NONE) { sum, word -> sum + OrganisationUsage(word.inFlight, word.tokensPerMinute) }
     }
 
     override fun outgoing(budgetBytes: Int): JsonElement? {
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageLimiter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageLimiter.kt
@@ -1,8 +1,8 @@
 package dev.almondhaven.router.limit
 
 import dev.almondhaven.catalogue.Organisation
-import dev.almondhaven.decision.limit.OrganisationUse
-import dev.almondhaven.decision.limit.Use
+import dev.almondhaven.decision.limit.OrganisationLimiter
+import dev.almondhaven.decision.limit.OrganisationUsage
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.OrganisationId
@@ -23,13 +23,13 @@
     /** What the routers tell each other about their use. */
     public val gossip: UsageGossip = UsageGossip(fleet, clock)
 
-    private val uses = ConcurrentHashMap<OrganisationId, OrganisationUse>()
+    private val uses = ConcurrentHashMap<OrganisationId, OrganisationLimiter>()
     private val duty = DutyThread.start<Unit>("limits", RING_CAPACITY, TICK, ::refresh) {}
 
     /** The use of [organisation]. */
-    public fun of(organisation: Organisation): OrganisationUse =
+    public fun of(organisation: Organisation): OrganisationLimiter =
         uses[organisation.id] ?: uses.computeIfAbsent(organisation.id) {
-            OrganisationUse(organisation.limits, fleet.members.size, clock.nanos())
+            OrganisationLimiter(organisation.limits, fleet.members.size, clock.nanos())
         }
 
     override fun close(): Unit = duty.close()
@@ -41,7 +41,7 @@
             val limits = holder.index.organisation(id)?.limits ?: return@forEach
             use.refresh(limits, gossip.othersUse(id), routers, now)
         }
-        gossip.tell(uses.mapValues { it.value.told }.filterValues { it != Use.NONE })
+        gossip.tell(uses.mapValues { it.value.reportedUsage }.filterValues { it != OrganisationUsage.NONE })
     }
 
     private companion object {
--- a/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
@@ -35,7 +35,7 @@
     private val view: FleetView,
     private val objects: ObjectStore,
     private val clock: NanoClock,
-    private val leaseSettings: LeaseSettings = LeaseSettings(longestOrder = settings.callTimeout),
+    private val leaseSettings: LeaseSettings = LeaseSettings(orderLifetime = settings.callTimeout),
 ) : AutoCloseable {
     private val client = EngineClient(settings.callTimeout)
     private val groups = HashMap<FailureDomainId, Group>()
@@ -113,7 +113,7 @@
         loadSpacing: Duration,
     ) {
         val fencing = group.lease.fencing() ?: return
-        if (order.loads) group.nextLoadAt = clock.nanos() + loadSpacing.inWholeNanoseconds
+        if (order.startsLoad) group.nextLoadAt = clock.nanos() + loadSpacing.inWholeNanoseconds
         val status = client.order(order.endpoint, EngineOrder(fencing, order.versions)).join()
         val event = if (status == HttpStatus.OK) LogEvent.ENGINE_ORDER_TAKEN else LogEvent.ENGINE_ORDER_FAILED
         event.log(logger) {
--- a/router/src/main/kotlin/dev/almondhaven/router/order/StoredLease.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/StoredLease.kt
@@ -27,7 +27,7 @@
     private val lease = Lease(self, settings) { UUID.randomUUID().toString() }
 
     /** The fencing number to order with now, or null. */
-    fun fencing(): Long? = lease.fencing(clock.nanos())
+    fun fencing(): Long? = lease.fencingToken(clock.nanos())
 
     /** Makes the call that is due, if any. */
     fun keep(wanted: Boolean) {
@@ -40,9 +40,9 @@
 
     private fun read() {
         val found = objects.get(key)
-        found.fold({ lease.failed() }) { stored ->
+        found.fold({ lease.onFailure() }) { stored ->
             val record = stored?.let { PeerProtocol.json.decodeFromString(LeaseRecord.serializer(), it.value) }
-            lease.read(clock.nanos(), record?.let { VersionedLease(it, stored.version.value) })
+            lease.onRead(clock.nanos(), record?.let { VersionedLease(it, stored.version.value) })
         }
     }
 
@@ -50,8 +50,13 @@
         val condition = call.version?.let { WriteCondition.AtVersion(ObjectVersion(it)) } ?: WriteCondition.Absent
         val text = PeerProtocol.json.encodeToString(LeaseRecord.serializer(), call.record)
         when (val result = objects.put(key, text, condition)) {
-            is Either.Right -> lease.written(clock.nanos(), result.value.value)
-            is Either.Left -> if (result.value == PlatformError.ConditionFailed) lease.conflicted() else lease.failed()
+            is Either.Right -> {
+                lease.onWritten(clock.nanos(), result.value.value)
+            }
+
+            is Either.Left -> {
+                if (result.value == PlatformError.ConditionFailed) lease.onConflict() else lease.onFailure()
+            }
         }
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
@@ -39,11 +39,11 @@
         )
     private val exchange = GossipExchange(membership, holder, freshness, network.topics)
     private val vmList = settings.vmList?.let { VmListReader(it) }
-    private var published: FleetView = FleetView.alone(network.self)
+    private var published: FleetView = FleetView.ofSelf(network.self)
     private val duty: DutyThread<PeerMessage>
 
     init {
-        membership.lookAt(settings.seeds)
+        membership.setContactAddresses(settings.seeds)
         duty = DutyThread.start("peers", RING, TICK, ::tick, ::handle)
         network.handlers.register(GossipExchange.PROBE, ::answerProbe)
         network.handlers.register(GossipExchange.INDIRECT_PROBE, ::relayProbe)
@@ -73,7 +73,7 @@
         }
 
     private fun tick() {
-        vmList?.poll()?.let { membership.lookAt(settings.seeds + it) }
+        vmList?.poll()?.let { membership.setContactAddresses(settings.seeds + it) }
         exchange.tick(clock.nanos()).forEach(::send)
         publish()
     }
@@ -102,7 +102,7 @@
     }
 
     private fun completed(message: PeerMessage.Completed) {
-        exchange.completed(clock.nanos(), message.request, message.answer.getOrNull()).forEach(::send)
+        exchange.onCompleted(clock.nanos(), message.request, message.answer.getOrNull()).forEach(::send)
     }
 
     private fun leave(message: PeerMessage.Leave) {
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerNetwork.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerNetwork.kt
@@ -88,7 +88,7 @@
     override val self: Member,
 ) : FleetView {
     @Volatile
-    var current: FleetView = FleetView.alone(self)
+    var current: FleetView = FleetView.ofSelf(self)
 
     override val members: List<Member> get() = current.members
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeersTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeersTest.kt
@@ -73,8 +73,8 @@
         router: TestRouter,
         key: String,
     ): ClaimVerdict {
-        val attempt = router.ledger.open(Long.MAX_VALUE)
-        val operation = ClaimOperation.Claim(Digest(key), attempt, Digest("body"), at = 0)
+        val attempt = router.ledger.issue(Long.MAX_VALUE)
+        val operation = ClaimOperation.Claim(Digest(key), attempt, Digest("body"), claimedAt = 0)
         return router.peers.settle(ClaimShard("claims/undated/1"), operation).join()
     }
 
@@ -107,7 +107,7 @@
 
     @Nested
     inner class `the holder of an attempt` {
-        private val attempt = routers[0].ledger.open(System.nanoTime() + 60_000_000_000)
+        private val attempt = routers[0].ledger.issue(System.nanoTime() + 60_000_000_000)
 
         @Test
         fun `tells whoever asks`() {
--- a/router/src/test/kotlin/dev/almondhaven/router/order/EngineOrderControllerTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/order/EngineOrderControllerTest.kt
@@ -55,7 +55,7 @@
     private val clock = NanoClock { nanos.get() }
 
     private fun start(name: String): EngineOrderController {
-        val view = FleetView.alone(Member(RouterId(name), domain, "127.0.0.1:1"))
+        val view = FleetView.ofSelf(Member(RouterId(name), domain, "127.0.0.1:1"))
         val controller = EngineOrderController(settings, holder, view, objects, clock, lease)
         running += controller
         controller.start()
