--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/AttemptLedger.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/AttemptLedger.kt
@@ -5,20 +5,20 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What the holder of an attempt says about it. */
+/** The state of an attempt as its holder reports it. */
 @Serializable
 public sealed interface AttemptStatus {
-    /** Not dispatched yet; may still be. */
+    /** Not dispatched yet, but still may be. */
     @Serializable
     @SerialName("pending")
     public data object Pending : AttemptStatus
 
-    /** Dispatched and not ended. */
+    /** Dispatched and still running. */
     @Serializable
     @SerialName("dispatched")
     public data object Dispatched : AttemptStatus
 
-    /** Dispatched and ended. */
+    /** Dispatched and completed. */
     @Serializable
     @SerialName("finished")
     public data class Finished(
@@ -31,16 +31,18 @@
     @SerialName("void")
     public data object Void : AttemptStatus
 
-    /** The router that was asked cannot tell. */
+    /** The router no longer has a record of the attempt, or never issued it. */
     @Serializable
     @SerialName("unknown")
     public data object Unknown : AttemptStatus
 }
 
 /**
- * The attempts of one router process: the single place where a dispatch and a void are decided against each other.
- * A void attempt is forgotten at once, so an attempt that was issued here and isn't held is void, except for those
- * at or below the newest one that was dropped for want of room. Safe to use from any thread.
+ * Tracks the attempts of one router process to dispatch calls. An attempt is either dispatched or made void, never
+ * both, and this class alone decides which.
+ *
+ * Void attempts are removed at once. An attempt that was issued here and has no entry is therefore void, except when
+ * its number is at or below the newest attempt evicted because the ledger was full. Safe to use from any thread.
  */
 public class AttemptLedger(
     private val self: RouterId,
@@ -52,25 +54,27 @@
     )
 
     private val entries = LinkedHashMap<Long, Entry>()
-    private var issued = 0L
-    private var dropped = 0L
+    private var lastIssued = 0L
+    private var lastEvicted = 0L
 
     /** Issues an attempt that may be dispatched before [dispatchBy], in monotonic nanoseconds. */
     @Synchronized
     public fun issue(dispatchBy: Long): Attempt {
-        issued++
-        entries[issued] = Entry(dispatchBy)
-        dropOldest()
-        return Attempt(self, issued)
+        lastIssued++
+        entries[lastIssued] = Entry(dispatchBy)
+        evictOldest()
+        return Attempt(self, lastIssued)
     }
 
-    /** Decides for the dispatch if [attempt] is neither void, nor dispatched, nor past its bound at [now]. */
+    /**
+     * Marks [attempt] as dispatched; false if it is void, already dispatched or past its dispatch deadline at [now].
+     */
     @Synchronized
     public fun tryDispatch(
         attempt: Attempt,
         now: Long,
     ): Boolean {
-        val entry = pending(attempt) ?: return false
+        val entry = pendingEntry(attempt) ?: return false
         if (now - entry.dispatchBy >= 0) {
             entries.remove(attempt.number)
             return false
@@ -79,31 +83,31 @@
         return true
     }
 
-    /** Decides against the dispatch; true if [attempt] is now void for good. */
+    /** Voids [attempt] unless it was dispatched; true if it is void now, which is final. */
     @Synchronized
     public fun void(attempt: Attempt): Boolean {
-        if (pending(attempt) != null) entries.remove(attempt.number)
+        if (pendingEntry(attempt) != null) entries.remove(attempt.number)
         return isVoid(attempt)
     }
 
-    /** Takes a dispatch back of which certainly no byte was sent. */
+    /** Returns a dispatched [attempt] to pending; only for a dispatch of which certainly no byte was sent. */
     @Synchronized
     public fun undoDispatch(attempt: Attempt) {
         val entry = entries[attempt.number] ?: return
         if (entry.status == AttemptStatus.Dispatched) entry.status = AttemptStatus.Pending
     }
 
-    /** Notes the end of a dispatched [attempt]. */
+    /** Records the result of a dispatched [attempt]. */
     @Synchronized
     public fun finish(
         attempt: Attempt,
         outcome: Outcome,
-        answer: RecordedResponse?,
+        response: RecordedResponse?,
     ) {
-        entries[attempt.number]?.status = AttemptStatus.Finished(outcome, answer)
+        entries[attempt.number]?.status = AttemptStatus.Finished(outcome, response)
     }
 
-    /** The status of [attempt] at [now]; an attempt past its bound is made void by asking. */
+    /** The status of [attempt] at [now]. A pending attempt past its dispatch deadline is voided by this call. */
     @Synchronized
     public fun statusAt(
         attempt: Attempt,
@@ -116,16 +120,16 @@
     }
 
     private fun isVoid(attempt: Attempt): Boolean =
-        attempt.holder == self && attempt.number in (dropped + 1)..issued && attempt.number !in entries
+        attempt.holder == self && attempt.number in (lastEvicted + 1)..lastIssued && attempt.number !in entries
 
-    private fun pending(attempt: Attempt): Entry? =
+    private fun pendingEntry(attempt: Attempt): Entry? =
         entries[attempt.number]?.takeIf { attempt.holder == self && it.status == AttemptStatus.Pending }
 
-    private fun dropOldest() {
+    private fun evictOldest() {
         if (entries.size <= capacity) return
         val oldest = entries.keys.first()
         entries.remove(oldest)
-        dropped = oldest
+        lastEvicted = oldest
     }
 
     private companion object {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimAction.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimAction.kt
@@ -3,34 +3,34 @@
 import dev.almondhaven.model.Outcome
 import dev.almondhaven.model.ResultCode
 
-/** What a [ClaimStateMachine] wants done. */
+/** An action that a [ClaimStateMachine] asks its caller to carry out. */
 public sealed interface ClaimAction {
-    /** Settle [operation] and report its verdict. */
+    /** Apply [operation] to its shard and report the verdict to [ClaimStateMachine.onVerdict]. */
     public data class Submit(
         public val operation: ClaimOperation,
     ) : ClaimAction
 
-    /** Settle [operation]; its verdict isn't waited for. */
+    /** Apply [operation] to its shard; the verdict isn't needed. */
     public data class Record(
         public val operation: ClaimOperation,
     ) : ClaimAction
 
-    /** Pass the call on to an endpoint and report how that ended. */
+    /** Send the call to an endpoint and report the result to [ClaimStateMachine.onDispatchResult]. */
     public data object Dispatch : ClaimAction
 
-    /** Ask the holder of [attempt] for its status, after a pause if [later]. */
+    /** Ask the holder of [attempt] for its status, after a delay if [afterDelay]. */
     public data class QueryStatus(
         public val attempt: Attempt,
         public val afterDelay: Boolean,
     ) : ClaimAction
 
-    /** Report the end of a pause. */
+    /** Wait, then call [ClaimStateMachine.onDelayElapsed]. */
     public data object Delay : ClaimAction
 
-    /** Give the caller the answer of its own call. */
+    /** Return the response of the dispatch to the caller. */
     public data object Deliver : ClaimAction
 
-    /** Give the caller the kept answer of an earlier attempt. */
+    /** Return the recorded [response] of an earlier attempt to the caller. */
     public data class Replay(
         public val response: RecordedResponse,
     ) : ClaimAction
@@ -42,19 +42,19 @@
         public val detail: String,
     ) : ClaimAction
 
-    /** Refuse the call with the error that its dispatch ended with, and [outcome]. */
+    /** Refuse the call with the error of its dispatch and with [outcome]. */
     public data class Fail(
         public val outcome: Outcome,
     ) : ClaimAction
 }
 
-/** How the way to an endpoint ended. */
+/** The result of dispatching a call to an endpoint. */
 public sealed interface DispatchResult {
-    /** With an answer; [answer] is null if it is too large to keep. */
+    /** The endpoint responded; [response] is null if it is too large to record. */
     public data class Answered(
         public val response: RecordedResponse?,
     ) : DispatchResult
 
-    /** With an error, whether or not anything was sent. */
+    /** The dispatch failed, before or after anything was sent. */
     public data object Failed : DispatchResult
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimDocument.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimDocument.kt
@@ -5,23 +5,23 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** A document after an operation, with what came of it. */
+/** The document that an operation produced, and the verdict on that operation. */
 public data class AppliedOperation(
     public val document: ClaimDocument,
     public val verdict: ClaimVerdict,
 )
 
 /**
- * A shard of the claims: the value of one platform object.
+ * One shard of the claims, stored as the value of one object on the platform.
  *
- * @property expired prefixes of the digests of undated keys that were claimed before the retention window.
+ * @property expired digest prefixes of keys without a timestamp that were claimed before the retention window.
  */
 @Serializable
 public data class ClaimDocument(
     @SerialName("k") public val records: Map<Digest, ClaimRecord> = emptyMap(),
     @SerialName("x") public val expired: Set<String> = emptySet(),
 ) {
-    /** This document with [operation] applied. [bytes] is the size of this document's text. */
+    /** Applies [operation] to this document, whose encoded size is [bytes]. */
     public fun apply(
         operation: ClaimOperation,
         bytes: Int,
@@ -56,7 +56,10 @@
             ClaimState.FINISHED -> false
         }
 
-    /** The caller of a void attempt was told `not_run`, which also speaks for the requests that came before it. */
+    /**
+     * Whether the new request certainly arrived after the void one. The void one was answered with `not_run`, which
+     * also covers every request under the key that arrived before it, so none of those may claim the key any more.
+     */
     private fun arrivedLater(
         held: ClaimRecord,
         operation: ClaimOperation.Claim,
@@ -90,7 +93,7 @@
     private fun claimedBy(operation: ClaimOperation): ClaimRecord? =
         records[operation.key]?.takeIf { it.attempt == operation.attempt && it.state == ClaimState.CLAIMED }
 
-    /** Shrinks undated claims from before the retention window at [nowMillis] to fingerprints. */
+    /** Replaces claims from before the retention window at [nowMillis] by the fingerprints of their keys. */
     public fun compacted(nowMillis: Long): ClaimDocument {
         val oldest = nowMillis - ClaimPlacement.RETENTION.inWholeMilliseconds
         val old = records.filterValues { it.claimedAt < oldest }
@@ -106,25 +109,25 @@
 
     private fun unchanged(verdict: ClaimVerdict) = AppliedOperation(this, verdict)
 
-    /** The text that the platform holds. */
+    /** The JSON text that the platform stores. */
     public fun encode(): String = json.encodeToString(serializer(), this)
 
     public companion object {
-        /** Shards beyond this size take no further keys; the rest is for the ends of those they have. */
+        /** Shards above this size accept no new keys; the space above it is for the results of claims they hold. */
         public const val MAX_SHARD_BYTES_FOR_CLAIMS: Int = 800_000
 
-        /** Shards beyond this size keep no further answers. */
+        /** Shards above this size record no further responses. */
         public const val MAX_SHARD_BYTES_FOR_RESPONSES: Int = 500_000
 
-        /** How far routers' clocks may differ for the order of arrival of two requests under one key to be known. */
+        /** Largest difference of routers' clocks for which the arrival order of two requests under one key is known. */
         public const val ARRIVAL_TOLERANCE_MILLIS: Long = 500
 
-        /** Longest Base64 text of an answer that is kept. */
+        /** Longest Base64 body of a response that is recorded. */
         public const val MAX_RESPONSE_CHARACTERS: Int = 1_024
         private const val FINGERPRINT_CHARACTERS = 11
         private val json = Json { ignoreUnknownKeys = true }
 
-        /** Decodes the text that the platform holds. */
+        /** Decodes the JSON text that the platform stores. */
         public fun decode(text: String): ClaimDocument = json.decodeFromString(serializer(), text)
 
         private fun fingerprint(key: Digest) = key.value.take(FINGERPRINT_CHARACTERS)
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimKey.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimKey.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.Serializable
 import java.util.Base64
 
-/** The first 128 bits of a SHA-256 digest in URL-safe Base64: names a claim without its caller's own text. */
+/** The first 128 bits of a SHA-256 digest in URL-safe Base64. It identifies a claim without storing caller input. */
 @Serializable
 @JvmInline
 public value class Digest(
@@ -15,7 +15,7 @@
     override fun toString(): String = value
 
     public companion object {
-        private const val BYTES = 16
+        private const val DIGEST_BYTES = 16
         private val encoder = Base64.getUrlEncoder().withoutPadding()
 
         /** The digest of [bytes]. */
@@ -26,19 +26,19 @@
                         .sha256()
                         .hashBytes(bytes)
                         .asBytes()
-                        .copyOf(BYTES),
+                        .copyOf(DIGEST_BYTES),
                 ),
             )
     }
 }
 
-/** An `Idempotency-Key` in its scope: the same text of another organisation or service is another key. */
+/** An `Idempotency-Key` with its scope: the same text from another organisation or for another service is distinct. */
 public data class ClaimKey(
     public val organisation: OrganisationId,
     public val service: ServiceId,
     public val text: String,
 ) {
-    /** Names the key in its shard. */
+    /** Identifies the key within its shard. */
     public val digest: Digest
         get() = Digest.of("${organisation.value}\u0000${service.value}\u0000$text".toByteArray())
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimOperation.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimOperation.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A change to one key's claim. Applying one twice has the effect of applying it once. */
+/** An idempotent change to the claim of one key. */
 @Serializable
 public sealed interface ClaimOperation {
     public val key: Digest
@@ -13,8 +13,8 @@
     /**
      * Claims the key for [attempt].
      *
-     * @property claimedAt epoch milliseconds.
-     * @property voided attempts that their holders declared void.
+     * @property claimedAt epoch milliseconds at which the request arrived.
+     * @property voided attempts that are void according to their holders.
      */
     @Serializable
     @SerialName("claim")
@@ -26,7 +26,7 @@
         public val voided: Set<Attempt> = emptySet(),
     ) : ClaimOperation
 
-    /** Records the end of a dispatched [attempt]. */
+    /** Records the result of a dispatched [attempt]. */
     @Serializable
     @SerialName("finish")
     public data class Finish(
@@ -45,10 +45,10 @@
     ) : ClaimOperation
 }
 
-/** What came of a [ClaimOperation] once it is settled. */
+/** The result of a [ClaimOperation]. */
 @Serializable
 public sealed interface ClaimVerdict {
-    /** The platform holds the claim for the attempt. */
+    /** The platform has stored the claim for the attempt. */
     @Serializable
     @SerialName("granted")
     public data object Granted : ClaimVerdict
@@ -70,7 +70,7 @@
     @SerialName("full")
     public data object Full : ClaimVerdict
 
-    /** The end of an attempt is recorded, or there is nothing left to record it in. */
+    /** The result of the attempt is recorded, or the attempt no longer holds the claim. */
     @Serializable
     @SerialName("recorded")
     public data object Recorded : ClaimVerdict
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimPlacement.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimPlacement.kt
@@ -16,51 +16,51 @@
     override fun toString(): String = value
 }
 
-/** Where a key's claim is kept, which depends on nothing but the key. */
+/** Where the claim of a key is stored. The shard depends on the key alone, so every router picks the same one. */
 public sealed interface ClaimPlacement {
-    /** The key's claim is in [shard] or nowhere. */
+    /** If the key is claimed, its claim is in [shard]. */
     public data class InShard(
         public val shard: ClaimShard,
     ) : ClaimPlacement
 
-    /** The key's time lies before the retention window: whether it ran is no longer known. */
+    /** The key's timestamp lies before the retention window, so it is no longer known whether its call ran. */
     public data object Expired : ClaimPlacement
 
-    /** The key's time lies in the future by more than clocks may differ. */
+    /** The key's timestamp is ahead of the router's clock by more than [CLOCK_TOLERANCE]. */
     public data class InFuture(
-        /** Whether no router whose clock is within the tolerance can have accepted the key. */
+        /** Whether no router whose clock is within the tolerance can have accepted the key yet. */
         public val neverAccepted: Boolean,
     ) : ClaimPlacement
 
     public companion object {
-        /** How long a claim is remembered. */
+        /** How long a claim is kept. */
         public val RETENTION: Duration = 24.hours
 
         /** How far the wall clocks of callers and routers may differ. */
         public val CLOCK_TOLERANCE: Duration = 5.minutes
 
-        /** How long a dated shard outlives the window of its keys; must exceed any difference of routers' clocks. */
+        /** How long a dated shard is kept after its keys expire; must exceed any difference of routers' clocks. */
         public val DELETION_MARGIN: Duration = 1.hours
 
-        /** Keys whose times fall in one period share their shards, so that their writes can be batched. */
+        /** Length of a period. Keys with timestamps in one period share its shards, so their writes can be batched. */
         public val PERIOD: Duration = 2.seconds
 
-        /** Shards of one period. */
+        /** Number of shards in each period. */
         public const val SHARDS_PER_PERIOD: Int = 4
 
-        /** Shards of the keys that carry no time. */
+        /** Number of shards for keys without a timestamp. */
         public const val UNDATED_SHARDS: Int = 64
 
-        /** Prefix of all dated shards; their names sort by time. */
+        /** Name prefix of the shards for keys with a timestamp; the names sort by time. */
         public const val DATED_PREFIX: String = "claims/dated/"
         private const val UNDATED_PREFIX = "claims/undated/"
         private const val PERIOD_DIGITS = 12
-        private const val HEXADECIMAL = 16
-        private const val TIME_DIGITS = 12
+        private const val HEXADECIMAL_RADIX = 16
+        private const val UUID_TIME_DIGITS = 12
         private val uuidVersion7 = Regex("[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}")
         private val hash = Hashing.farmHashFingerprint64()
 
-        /** Where the claim of [key] is kept at wall-clock time [nowMillis]. */
+        /** The placement of [key] at wall-clock time [nowMillis]. */
         public fun of(
             key: ClaimKey,
             nowMillis: Long,
@@ -70,12 +70,12 @@
                 uuidMillisOrNull(key.text) ?: return InShard(ClaimShard("$UNDATED_PREFIX${slot.mod(UNDATED_SHARDS)}"))
             return when {
                 time < nowMillis - RETENTION.inWholeMilliseconds -> Expired
-                time > nowMillis + CLOCK_TOLERANCE.inWholeMilliseconds -> ahead(time - nowMillis)
+                time > nowMillis + CLOCK_TOLERANCE.inWholeMilliseconds -> inFuture(time - nowMillis)
                 else -> InShard(datedShard(time, slot.mod(SHARDS_PER_PERIOD)))
             }
         }
 
-        /** Whether every key of [shard] expired so long ago that no router's clock can still accept one. */
+        /** Whether the keys of [shard] expired so long ago that no router, whatever its clock, still accepts one. */
         public fun isDeletable(
             shard: ClaimShard,
             nowMillis: Long,
@@ -90,14 +90,15 @@
             return end + (RETENTION + DELETION_MARGIN).inWholeMilliseconds < nowMillis
         }
 
-        /** Epoch milliseconds inside a version 7 UUID, or null for any other text. */
+        /** The timestamp of a version 7 UUID in epoch milliseconds, or null for any other text. */
         public fun uuidMillisOrNull(text: String): Long? {
             val lower = text.lowercase()
             if (!uuidVersion7.matches(lower)) return null
-            return lower.replace("-", "").take(TIME_DIGITS).toLong(HEXADECIMAL)
+            return lower.replace("-", "").take(UUID_TIME_DIGITS).toLong(HEXADECIMAL_RADIX)
         }
 
-        private fun ahead(millis: Long) = InFuture(neverAccepted = millis > 2 * CLOCK_TOLERANCE.inWholeMilliseconds)
+        private fun inFuture(aheadMillis: Long) =
+            InFuture(neverAccepted = aheadMillis > 2 * CLOCK_TOLERANCE.inWholeMilliseconds)
 
         private fun datedShard(
             time: Long,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimRecord.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimRecord.kt
@@ -5,21 +5,21 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** One try of one router process to run a key's call; never used twice. */
+/** One attempt of one router process to run a key's call; numbers are never reused. */
 @Serializable
 public data class Attempt(
     @SerialName("h") public val holder: RouterId,
     @SerialName("n") public val number: Long,
 )
 
-/** The state of a claim as the platform keeps it. */
+/** The state of a claim as stored on the platform. */
 @Serializable
 public enum class ClaimState {
     /** The attempt may dispatch, and may have done so. */
     @SerialName("c")
     CLAIMED,
 
-    /** The attempt was dispatched and has ended. */
+    /** The attempt was dispatched and has completed. */
     @SerialName("f")
     FINISHED,
 
@@ -28,7 +28,7 @@
     VOID,
 }
 
-/** The answer of a finished call; [body] is Base64. */
+/** The HTTP response of a finished call; [body] is Base64. */
 @Serializable
 public data class RecordedResponse(
     @SerialName("s") public val status: Int,
@@ -37,12 +37,12 @@
 )
 
 /**
- * What the platform keeps for one key.
+ * The claim of one key as stored on the platform.
  *
  * @property requestDigest digest of the request's method, path and body.
- * @property claimedAt epoch milliseconds of the claim by its holder's clock.
- * @property outcome whether the call ran, once it is finished.
- * @property response the answer of a finished call when it was small enough to keep.
+ * @property claimedAt epoch milliseconds at which the request arrived, by its holder's clock.
+ * @property outcome whether the call ran; null until it is finished.
+ * @property response the response of a finished call if it was small enough to record.
  */
 @Serializable
 public data class ClaimRecord(
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimStateMachine.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimStateMachine.kt
@@ -4,11 +4,11 @@
 import dev.almondhaven.model.ResultCode
 
 /**
- * What identifies a call that is to be claimed.
+ * A call that needs a claim before it may be dispatched.
  *
  * @property requestDigest digest of the request's method, path and body.
  * @property arrivedAt epoch milliseconds of its arrival.
- * @property isFirst whether it is certain that there was no earlier request under the key.
+ * @property isFirst whether it is certain that no earlier request used the key.
  */
 public data class ClaimRequest(
     public val key: Digest,
@@ -18,8 +18,9 @@
 )
 
 /**
- * The way of one non-idempotent call: it claims its key, is dispatched if the claim is granted, and otherwise finds out
- * what came of the attempt that holds the key. Not safe for use from several threads.
+ * State machine of one non-idempotent call. It claims the call's idempotency key and dispatches the call if the claim
+ * is granted; otherwise it finds out the result of the attempt that holds the key. It does no I/O: each event returns
+ * the actions to carry out. Not safe for use from several threads.
  */
 public class ClaimStateMachine(
     private val request: ClaimRequest,
@@ -29,13 +30,13 @@
     private val voided = HashSet<Attempt>()
     private var heldByOther = false
     private var claimMayExist = false
-    private var unansweredQuestions = 0
+    private var failedQueries = 0
 
-    /** Whether the caller has its answer. */
+    /** Whether the caller has got its response or refusal. */
     public var answered: Boolean = false
         private set
 
-    /** The first actions. */
+    /** Returns the first actions. */
     public fun start(): List<ClaimAction> = submit()
 
     /** Reports the verdict on the claim. */
@@ -43,28 +44,54 @@
         if (answered) return emptyList()
         claimMayExist = verdict == ClaimVerdict.Granted
         return when (verdict) {
-            ClaimVerdict.Granted -> listOf(ClaimAction.Dispatch)
-            is ClaimVerdict.Held -> onHeld(verdict.record)
-            ClaimVerdict.Expired -> refuse(ResultCode.CLAIM_KEY_EXPIRED, Outcome.UNKNOWN, "the key was used before")
-            ClaimVerdict.Full -> refuse(ResultCode.CLAIM_STORE_FULL, unread(), "a version 7 UUID as key has room")
-            ClaimVerdict.Recorded -> emptyList()
+            ClaimVerdict.Granted -> {
+                listOf(ClaimAction.Dispatch)
+            }
+
+            is ClaimVerdict.Held -> {
+                onHeld(verdict.record)
+            }
+
+            ClaimVerdict.Expired -> {
+                refuse(
+                    ResultCode.CLAIM_KEY_EXPIRED,
+                    Outcome.UNKNOWN,
+                    "the key was claimed before the retention window",
+                )
+            }
+
+            ClaimVerdict.Full -> {
+                refuse(
+                    ResultCode.CLAIM_STORE_FULL,
+                    outcomeOfEarlierRequests(),
+                    "the shard of this key is full; use a new version 7 UUID as the key",
+                )
+            }
+
+            ClaimVerdict.Recorded -> {
+                emptyList()
+            }
         }
     }
 
-    /** Reports that the claim was not taken for want of room. */
+    /** Reports that the claim was rejected because too many operations are pending. */
     public fun onRejected(): List<ClaimAction> =
-        if (answered) emptyList() else refuse(ResultCode.OVERLOADED, unread(), "too many claims wait")
+        if (answered) {
+            emptyList()
+        } else {
+            refuse(ResultCode.OVERLOADED, outcomeOfEarlierRequests(), "too many claims are pending")
+        }
 
-    /** Reports what the holder of [asked] said; null if it could not be reached, and then whether it [lives]. */
+    /** Reports the [status] of [queried] from its holder, or null if the holder was unreachable. */
     public fun onStatus(
-        asked: Attempt,
+        queried: Attempt,
         status: AttemptStatus?,
-        lives: Boolean,
+        holderAlive: Boolean,
     ): List<ClaimAction> {
         if (answered) return emptyList()
         return when (status) {
             AttemptStatus.Void -> {
-                voided += asked
+                voided += queried
                 submit()
             }
 
@@ -73,38 +100,55 @@
             }
 
             AttemptStatus.Pending, AttemptStatus.Dispatched -> {
-                listOf(ClaimAction.QueryStatus(asked, afterDelay = true))
+                listOf(ClaimAction.QueryStatus(queried, afterDelay = true))
             }
 
             AttemptStatus.Unknown, null -> {
-                onSilence(asked, lives)
+                onStatusUnknown(queried, holderAlive)
             }
         }
     }
 
-    /** Reports the end of a pause. */
+    /** Reports that a requested delay has elapsed. */
     public fun onDelayElapsed(): List<ClaimAction> = if (answered) emptyList() else submit()
 
-    /** Reports how the dispatch ended. */
-    public fun onDispatchResult(end: DispatchResult): List<ClaimAction> {
-        if (end == DispatchResult.Failed && ledger.void(attempt)) {
+    /** Reports the [result] of the dispatch. */
+    public fun onDispatchResult(result: DispatchResult): List<ClaimAction> {
+        if (result == DispatchResult.Failed && ledger.void(attempt)) {
             return listOf(ClaimAction.Record(ClaimOperation.Void(request.key, attempt))) +
-                answer(ClaimAction.Fail(Outcome.NOT_RUN))
+                respond(ClaimAction.Fail(Outcome.NOT_RUN))
         }
-        val outcome = if (end is DispatchResult.Answered) Outcome.RAN else Outcome.UNKNOWN
-        val kept = (end as? DispatchResult.Answered)?.response
-        ledger.finish(attempt, outcome, kept)
-        val last = if (end is DispatchResult.Answered) ClaimAction.Deliver else ClaimAction.Fail(Outcome.UNKNOWN)
-        return listOf(ClaimAction.Record(ClaimOperation.Finish(request.key, attempt, outcome, kept))) + answer(last)
+        val outcome = if (result is DispatchResult.Answered) Outcome.RAN else Outcome.UNKNOWN
+        val response = (result as? DispatchResult.Answered)?.response
+        ledger.finish(attempt, outcome, response)
+        val action = if (result is DispatchResult.Answered) ClaimAction.Deliver else ClaimAction.Fail(Outcome.UNKNOWN)
+        return listOf(ClaimAction.Record(ClaimOperation.Finish(request.key, attempt, outcome, response))) +
+            respond(action)
     }
 
-    /** Reports that the caller's deadline has passed. A call that is dispatched runs on to its recorded end. */
+    /** Reports that the caller's deadline has passed. A dispatched call keeps running and its result is recorded. */
     public fun onDeadline(): List<ClaimAction> {
         if (answered) return emptyList()
         return when {
-            !ledger.void(attempt) -> refuse(ResultCode.DEADLINE_EXCEEDED, Outcome.UNKNOWN, "the call still runs")
-            heldByOther -> refuse(ResultCode.CLAIM_IN_PROGRESS, Outcome.UNKNOWN, "an earlier attempt goes on")
-            else -> refuse(ResultCode.CLAIM_UNSETTLED, unread(), "the platform did not confirm the claim")
+            !ledger.void(attempt) -> {
+                refuse(ResultCode.DEADLINE_EXCEEDED, Outcome.UNKNOWN, "the call is still running")
+            }
+
+            heldByOther -> {
+                refuse(
+                    ResultCode.CLAIM_IN_PROGRESS,
+                    Outcome.UNKNOWN,
+                    "an earlier attempt under the key is still in progress",
+                )
+            }
+
+            else -> {
+                refuse(
+                    ResultCode.CLAIM_UNSETTLED,
+                    outcomeOfEarlierRequests(),
+                    "the platform did not confirm the claim",
+                )
+            }
         }
     }
 
@@ -115,9 +159,9 @@
     }
 
     private fun onHeld(record: ClaimRecord): List<ClaimAction> {
-        val void = record.state == ClaimState.VOID || record.attempt in voided
+        val isVoid = record.state == ClaimState.VOID || record.attempt in voided
         return when {
-            void -> onVoid(record)
+            isVoid -> onVoid(record)
             record.requestDigest != request.requestDigest -> onOtherBody(record)
             record.state == ClaimState.FINISHED -> onFinished(record.outcome ?: Outcome.UNKNOWN, record.response)
             else -> onClaimed(record)
@@ -125,19 +169,27 @@
     }
 
     /**
-     * A void claim keeps back the requests that may have come before it. Those before this one are surely among them if
-     * this one came within the tolerance of clocks; a later one may follow a request that isn't kept back.
+     * A void claim blocks requests that arrived up to twice the clock tolerance after it. If this request arrived
+     * within one tolerance of the claim, every request that arrived before it is blocked too, whatever its router's
+     * clock, so none of them runs. Otherwise an earlier one, stamped by a clock that is ahead, may not be blocked.
      */
     private fun onVoid(record: ClaimRecord): List<ClaimAction> {
         val certain = request.arrivedAt <= record.claimedAt + ClaimDocument.ARRIVAL_TOLERANCE_MILLIS
-        val outcome = if (certain) Outcome.NOT_RUN else unread()
-        return refuse(ResultCode.CLAIM_VOIDED, outcome, "a call under the key was refused at that time")
+        val outcome = if (certain) Outcome.NOT_RUN else outcomeOfEarlierRequests()
+        return refuse(
+            ResultCode.CLAIM_VOIDED,
+            outcome,
+            "a request under the key that arrived at about the same time was refused",
+        )
     }
 
-    /** As long as the other request may still turn out void, an earlier one with this body may run in its place. */
+    /**
+     * Until the holding attempt is finished it may still become void, and then an earlier request with the same body as
+     * this one may claim the key and run.
+     */
     private fun onOtherBody(record: ClaimRecord): List<ClaimAction> {
-        val outcome = if (record.state == ClaimState.FINISHED) Outcome.NOT_RUN else unread()
-        return refuse(ResultCode.CLAIM_KEY_REUSED, outcome, "the first request under the key differs")
+        val outcome = if (record.state == ClaimState.FINISHED) Outcome.NOT_RUN else outcomeOfEarlierRequests()
+        return refuse(ResultCode.CLAIM_KEY_REUSED, outcome, "the key was first used with a different request")
     }
 
     private fun onClaimed(record: ClaimRecord): List<ClaimAction> {
@@ -147,46 +199,46 @@
 
     private fun onFinished(
         outcome: Outcome,
-        kept: RecordedResponse?,
+        response: RecordedResponse?,
     ): List<ClaimAction> {
-        if (kept == null || outcome != Outcome.RAN) {
-            return refuse(ResultCode.CLAIM_ANSWER_NOT_KEPT, outcome, "the first attempt has ended")
+        if (response == null || outcome != Outcome.RAN) {
+            return refuse(ResultCode.CLAIM_ANSWER_NOT_KEPT, outcome, "an earlier attempt under the key has completed")
         }
         ledger.void(attempt)
-        return answer(ClaimAction.Replay(kept))
+        return respond(ClaimAction.Replay(response))
     }
 
-    /** A holder that is gone may have left the end of its attempt with the platform, so the claim is read again. */
-    private fun onSilence(
-        asked: Attempt,
-        lives: Boolean,
+    /** The holder may have recorded its result before it stopped, so the claim is read again before refusing. */
+    private fun onStatusUnknown(
+        queried: Attempt,
+        holderAlive: Boolean,
     ): List<ClaimAction> {
-        unansweredQuestions++
-        if (unansweredQuestions <= QUESTIONS || lives) return listOf(ClaimAction.Delay)
-        return refuse(ResultCode.CLAIM_HOLDER_GONE, Outcome.UNKNOWN, "holder ${asked.holder}")
+        failedQueries++
+        if (failedQueries <= MAX_FAILED_QUERIES || holderAlive) return listOf(ClaimAction.Delay)
+        return refuse(ResultCode.CLAIM_HOLDER_GONE, Outcome.UNKNOWN, "the attempt's holder ${queried.holder} is gone")
     }
 
-    /** What can be said of earlier requests under the key before its claim was read. */
-    private fun unread(): Outcome = if (request.isFirst) Outcome.NOT_RUN else Outcome.UNKNOWN
+    /** The outcome of earlier requests under the key, as far as it is known without reading the claim. */
+    private fun outcomeOfEarlierRequests(): Outcome = if (request.isFirst) Outcome.NOT_RUN else Outcome.UNKNOWN
 
-    /** Refuses the call. An attempt that isn't dispatched is made void first, which keeps `not_run` true. */
+    /** Refuses the call. An attempt that wasn't dispatched is voided first, so that a `not_run` outcome stays true. */
     private fun refuse(
         code: ResultCode,
         outcome: Outcome,
         detail: String,
     ): List<ClaimAction> {
-        val void = ledger.void(attempt) && claimMayExist
-        val record = listOf(ClaimAction.Record(ClaimOperation.Void(request.key, attempt))).filter { void }
-        return record + answer(ClaimAction.Refuse(code, outcome, detail))
+        val mustRecord = ledger.void(attempt) && claimMayExist
+        val record = listOf(ClaimAction.Record(ClaimOperation.Void(request.key, attempt))).filter { mustRecord }
+        return record + respond(ClaimAction.Refuse(code, outcome, detail))
     }
 
-    private fun answer(action: ClaimAction): List<ClaimAction> {
+    private fun respond(action: ClaimAction): List<ClaimAction> {
         if (answered) return emptyList()
         answered = true
         return listOf(action)
     }
 
     private companion object {
-        const val QUESTIONS = 3
+        const val MAX_FAILED_QUERIES = 3
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ShardStep.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ShardStep.kt
@@ -1,17 +1,17 @@
 package dev.almondhaven.decision.claim
 
-/** The platform's version of a shard's object. */
+/** The platform's version number of a shard's object. */
 @JvmInline
 public value class ShardVersion(
     public val value: Long,
 )
 
-/** What a [ShardWriter] wants done next. */
+/** The next step that a [ShardWriter] asks its caller to carry out. */
 public sealed interface ShardStep {
-    /** Nothing until the next submission. */
+    /** Nothing to do until the next submission. */
     public data object Idle : ShardStep
 
-    /** Nothing before [until], in monotonic nanoseconds. */
+    /** Nothing to do before [until], in monotonic nanoseconds. */
     public data class Wait(
         public val until: Long,
     ) : ShardStep
@@ -19,7 +19,7 @@
     /** Read the shard's object. */
     public data object Read : ShardStep
 
-    /** Write [document] if the object is still at [expected]; null means that it doesn't exist yet. */
+    /** Write [document], encoded as [text], if the object is still at [expected]; null if it must not exist yet. */
     public data class Write(
         public val document: ClaimDocument,
         public val text: String,
@@ -27,7 +27,7 @@
     ) : ShardStep
 }
 
-/** A submission's end: the [token] it was submitted with, and what came of it. */
+/** A completed submission: the [token] it was submitted with, and its verdict. */
 public data class SettledOperation<T>(
     public val token: T,
     public val verdict: ClaimVerdict,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ShardWriter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ShardWriter.kt
@@ -6,11 +6,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How a [ShardWriter] paces itself.
+ * Batching and backoff limits of a [ShardWriter].
  *
- * @property writeInterval least time between two writes of one shard; operations that come between share a write.
- * @property completionDelay longest time that the end of an attempt waits for a claim to share its write.
- * @property initialBackoff bound of the random pause after the first failed call; it doubles with each failure.
+ * @property writeInterval least time between two writes of one shard; operations submitted in between share a write.
+ * @property completionDelay longest time that the result of an attempt waits for a claim to share a write with.
+ * @property initialBackoff upper bound of the random delay after the first failed call; doubles with each failure.
+ * @property maxBackoff largest upper bound of that delay.
+ * @property maxPending operations that may wait; further ones are rejected.
+ * @property maxBatch operations in one write.
  */
 public data class ShardWriterLimits(
     public val writeInterval: Duration = 100.milliseconds,
@@ -22,9 +25,10 @@
 )
 
 /**
- * Brings operations on one shard into the platform's object: reads it, applies what waits, and writes it by conditional
- * update until the write is known to have taken effect. A lost answer is settled by reading back: an operation that
- * already took effect applies without a change. It does no I/O; the caller carries out [next] and reports the result.
+ * Applies operations to one shard: reads the shard's object from the platform, applies the pending operations and
+ * writes it back by compare-and-set until a write is known to have taken effect. After a lost response the object is
+ * read again; an operation that already took effect then applies without a change. It does no I/O: the caller carries
+ * out the step that [next] returns and reports the result.
  */
 public class ShardWriter<T>(
     private val limits: ShardWriterLimits,
@@ -33,70 +37,70 @@
     private class Submission<T>(
         val operation: ClaimOperation,
         val token: T,
-        val at: Long,
-        var tried: Boolean = false,
+        val submittedAt: Long,
+        var writeAttempted: Boolean = false,
     )
 
-    private class Known(
+    private class Snapshot(
         val document: ClaimDocument,
         val bytes: Int,
         val version: ShardVersion?,
     )
 
-    private val waiting = ArrayDeque<Submission<T>>()
+    private val pending = ArrayDeque<Submission<T>>()
     private val settled = ArrayList<SettledOperation<T>>()
     private var planned: List<SettledOperation<T>> = emptyList()
     private var plannedWrite: ShardStep.Write? = null
-    private var known: Known? = null
-    private var fresh = false
-    private var notBefore = Long.MIN_VALUE
+    private var snapshot: Snapshot? = null
+    private var snapshotFresh = false
+    private var nextCallAt = Long.MIN_VALUE
     private var failures = 0
 
-    /** Operations that are not settled. */
-    public val pendingCount: Int get() = waiting.size
+    /** Number of operations that aren't settled. */
+    public val pendingCount: Int get() = pending.size
 
-    /** Takes [operation] at [now]; false when too many wait, and it is then not taken. */
+    /** Queues [operation] at [now]; false if it is rejected because too many are pending. */
     public fun submit(
         operation: ClaimOperation,
         token: T,
         now: Long,
     ): Boolean {
-        if (operation is ClaimOperation.Void && dropUntried(operation)) {
+        if (operation is ClaimOperation.Void && cancelUnwrittenClaim(operation)) {
             settled += SettledOperation(token, ClaimVerdict.Recorded)
             return true
         }
-        if (waiting.size >= limits.maxPending) return false
-        waiting += Submission(operation, token, now)
-        fresh = false
+        if (pending.size >= limits.maxPending) return false
+        pending += Submission(operation, token, now)
+        snapshotFresh = false
         return true
     }
 
-    private fun dropUntried(void: ClaimOperation.Void): Boolean {
+    private fun cancelUnwrittenClaim(void: ClaimOperation.Void): Boolean {
         val claim =
-            waiting.firstOrNull { it.operation is ClaimOperation.Claim && it.operation.attempt == void.attempt }
+            pending.firstOrNull { it.operation is ClaimOperation.Claim && it.operation.attempt == void.attempt }
         if (claim == null) return false
-        waiting.remove(claim)
+        pending.remove(claim)
         settled += SettledOperation(claim.token, ClaimVerdict.Recorded)
-        return !claim.tried
+        return !claim.writeAttempted
     }
 
     /**
-     * What to do at [now], in monotonic nanoseconds; [wallMillis] is the time of day. With [flush] ends of attempts don't
-     * wait for claims.
+     * The next step at [now], in monotonic nanoseconds; [wallMillis] is the wall-clock time. With [flush] results of
+     * attempts don't wait for claims.
      */
     public fun next(
         now: Long,
         wallMillis: Long,
         flush: Boolean = false,
     ): ShardStep {
-        if (waiting.isEmpty()) return ShardStep.Idle
-        val start = if (flush) notBefore else maxOf(notBefore, dueAt())
+        if (pending.isEmpty()) return ShardStep.Idle
+        val start = if (flush) nextCallAt else maxOf(nextCallAt, dueAt())
         if (now < start) return ShardStep.Wait(start)
-        val base = known ?: return ShardStep.Read
+        val base = snapshot ?: return ShardStep.Read
         val before = base.document.compacted(wallMillis)
         var document = before
         planned =
-            waiting.take(limits.maxBatch).map { submission ->
+            pending.take(limits.maxBatch).map { submission ->
                 val applied = document.apply(submission.operation, base.bytes)
                 document = applied.document
                 SettledOperation(submission.token, applied.verdict)
@@ -105,31 +109,31 @@
     }
 
     private fun dueAt(): Long {
-        val claims = waiting.any { it.operation is ClaimOperation.Claim }
-        return if (claims) Long.MIN_VALUE else waiting.first().at + limits.completionDelay.inWholeNanoseconds
+        if (pending.any { it.operation is ClaimOperation.Claim }) return Long.MIN_VALUE
+        return pending.first().submittedAt + limits.completionDelay.inWholeNanoseconds
     }
 
     private fun settleUnchanged(): ShardStep {
-        if (!fresh) return ShardStep.Read
+        if (!snapshotFresh) return ShardStep.Read
         settlePlanned()
         return ShardStep.Idle
     }
 
     private fun write(
         document: ClaimDocument,
-        base: Known,
+        base: Snapshot,
     ): ShardStep {
-        waiting.take(planned.size).forEach { it.tried = true }
+        pending.take(planned.size).forEach { it.writeAttempted = true }
         return ShardStep.Write(document, document.encode(), base.version).also { plannedWrite = it }
     }
 
-    /** Reports what was read; [version] is null when there is no object. */
+    /** Reports the object that was read; [text] and [version] are null if there is none. */
     public fun onRead(
         text: String?,
         version: ShardVersion?,
     ) {
-        known = Known(text?.let { ClaimDocument.decode(it) } ?: ClaimDocument(), text?.length ?: 0, version)
-        fresh = true
+        snapshot = Snapshot(text?.let { ClaimDocument.decode(it) } ?: ClaimDocument(), text?.length ?: 0, version)
+        snapshotFresh = true
     }
 
     /** Reports that the write took effect and gave [version]. */
@@ -137,30 +141,32 @@
         version: ShardVersion,
         now: Long,
     ) {
-        val write = checkNotNull(plannedWrite) { "no write was asked for" }
-        known = Known(write.document, write.text.length, version)
-        fresh = true
+        val write = checkNotNull(plannedWrite) { "no write was requested" }
+        snapshot = Snapshot(write.document, write.text.length, version)
+        snapshotFresh = true
         failures = 0
         settlePlanned()
-        notBefore = now + limits.writeInterval.inWholeNanoseconds
+        nextCallAt = now + limits.writeInterval.inWholeNanoseconds
     }
 
-    /** Reports that another writer was first. */
+    /** Reports that the object was no longer at the expected version. */
     public fun onConflict(now: Long) {
-        known = null
+        snapshot = null
         backOff(now)
     }
 
-    /** Reports that a call failed or its answer was lost; the next step reads back what took effect. */
+    /** Reports that a call failed or its response was lost; the object is read again to see what took effect. */
     public fun onFailure(now: Long) {
-        known = null
+        snapshot = null
         backOff(now)
     }
 
-    /** Reports that the shard is larger than the platform holds: nothing more can be claimed in it. */
+    /**
+     * Reports that the shard exceeds the platform's size limit: the planned claims are refused as [ClaimVerdict.Full].
+     */
     public fun onTooLarge(now: Long) {
-        waiting.take(planned.size).filter { it.operation is ClaimOperation.Claim }.forEach {
-            waiting.remove(it)
+        pending.take(planned.size).filter { it.operation is ClaimOperation.Claim }.forEach {
+            pending.remove(it)
             settled += SettledOperation(it.token, ClaimVerdict.Full)
         }
         backOff(now)
@@ -171,18 +177,18 @@
 
     private fun settlePlanned() {
         settled += planned
-        repeat(planned.size) { waiting.removeFirst() }
+        repeat(planned.size) { pending.removeFirst() }
         planned = emptyList()
         plannedWrite = null
     }
 
     private fun backOff(now: Long) {
-        val bound = limits.initialBackoff * (1 shl minOf(failures, MAXIMUM_DOUBLINGS))
+        val bound = limits.initialBackoff * (1 shl minOf(failures, MAX_BACKOFF_DOUBLINGS))
         failures++
-        notBefore = now + random.nextLong(minOf(bound, limits.maxBackoff).inWholeNanoseconds) + 1
+        nextCallAt = now + random.nextLong(minOf(bound, limits.maxBackoff).inWholeNanoseconds) + 1
     }
 
     private companion object {
-        const val MAXIMUM_DOUBLINGS = 10
+        const val MAX_BACKOFF_DOUBLINGS = 10
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/claim/ClaimPropertyTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/claim/ClaimPropertyTest.kt
@@ -8,16 +8,16 @@
 import strikt.assertions.isTrue
 
 class ClaimPropertyTest {
-    private fun simulations(omitted: Omitted = Omitted.NOTHING) =
+    private fun simulations(omitted: OmittedRule = OmittedRule.NONE) =
         (1L..SCHEDULES).asSequence().map { ClaimSimulation(it, omitted).run() }
 
     @Nested
-    inner class `over thousands of schedules of faults` {
+    inner class `over thousands of random fault schedules` {
         @Test
         fun `a key is dispatched at most once and every not_run is true`() {
-            val broken = simulations().flatMap { it.violations }.toSet()
+            val violations = simulations().flatMap { it.violations }.toSet()
 
-            expectThat(broken).isEmpty()
+            expectThat(violations).isEmpty()
         }
 
         @Test
@@ -30,31 +30,31 @@
         }
     }
 
-    private fun breaks(
-        omitted: Omitted,
+    private fun anyViolates(
+        omitted: OmittedRule,
         violation: String,
     ): Boolean = simulations(omitted).any { simulation -> simulation.violations.any { it.startsWith(violation) } }
 
     @Nested
-    inner class `the property fails` {
+    inner class `the property is violated` {
         @Test
-        fun `without the conditional update`() {
-            expectThat(breaks(Omitted.CONDITIONAL_UPDATE, "dispatched twice")).isTrue()
+        fun `without the compare-and-set write`() {
+            expectThat(anyViolates(OmittedRule.COMPARE_AND_SET, "dispatched twice")).isTrue()
         }
 
         @Test
-        fun `without the rule that a holder that says void has made it so`() {
-            expectThat(breaks(Omitted.VOID_RULE, "dispatched twice")).isTrue()
+        fun `if a holder reports a pending attempt as void without voiding it`() {
+            expectThat(anyViolates(OmittedRule.VOID_RULE, "dispatched twice")).isTrue()
         }
 
         @Test
-        fun `without the bound on the dispatch`() {
-            expectThat(breaks(Omitted.DISPATCH_BOUND, "dispatched after its bound")).isTrue()
+        fun `without the dispatch deadline`() {
+            expectThat(anyViolates(OmittedRule.DISPATCH_DEADLINE, "dispatched after its deadline")).isTrue()
         }
 
         @Test
-        fun `without the order of arrival at a void claim`() {
-            expectThat(breaks(Omitted.ARRIVAL_ORDER, "an untrue not_run")).isTrue()
+        fun `without comparing arrival times at a void claim`() {
+            expectThat(anyViolates(OmittedRule.ARRIVAL_ORDER, "false not_run")).isTrue()
         }
     }
 
--- a/decision/src/test/kotlin/dev/almondhaven/decision/claim/ClaimSimulation.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/claim/ClaimSimulation.kt
@@ -6,32 +6,32 @@
 import org.apache.commons.rng.simple.RandomSource
 import java.util.Random
 
-/** A rule that a simulation leaves out, to show that the properties rest on it. */
-internal enum class Omitted { NOTHING, CONDITIONAL_UPDATE, VOID_RULE, DISPATCH_BOUND, ARRIVAL_ORDER }
+/** A rule that a simulation leaves out to show that the properties depend on it. */
+internal enum class OmittedRule { NONE, COMPARE_AND_SET, VOID_RULE, DISPATCH_DEADLINE, ARRIVAL_ORDER }
 
 /**
- * Several routers that handle calls under a few keys, with everything that may go wrong between them and the platform,
- * in an order drawn from [seed]. The decisions are the real ones; time, messages and the platform are simulated.
+ * Simulates routers that handle calls under a few keys, with faults between the routers and the platform, in an order
+ * drawn from [seed]. The claim logic is the production code; time, messages and the platform are simulated.
  */
 internal class ClaimSimulation(
     seed: Long,
-    private val omitted: Omitted = Omitted.NOTHING,
+    private val omitted: OmittedRule = OmittedRule.NONE,
 ) {
     private val random = Random(seed)
-    private val shard = FaultyShard(random, omitted != Omitted.CONDITIONAL_UPDATE)
+    private val shard = FaultyShard(random, omitted != OmittedRule.COMPARE_AND_SET)
     private val events = ArrayList<Event>()
     private val routers = ArrayList<SimulatedRouter>()
     private val calls = ArrayList<SimulatedCall>()
     private var now = 0L
     private var started = 0
 
-    /** What broke a property. */
+    /** Descriptions of the violated properties. */
     val violations = LinkedHashSet<String>()
 
     /** Calls that reached the service. */
     val dispatched get() = calls.count { it.sent }
 
-    /** Calls by the outcome or answer their callers got. */
+    /** Numbers of calls by the outcome or response their callers got. */
     val ends get() = calls.groupingBy { it.end }.eachCount()
 
     private class Event(
@@ -67,7 +67,9 @@
             }
         }
 
-        /** The owner of the shard may settle the operation, or both, and its answer may be lost. */
+        /**
+         * A random owner settles the operation, sometimes this router too or the owner twice; the verdict may be lost.
+         */
         fun settle(
             operation: ClaimOperation,
             call: SimulatedCall?,
@@ -78,8 +80,8 @@
             if (random.nextInt(10) == 0) later(owner) { owner.writer.submit(operation, null, now) }
         }
 
-        fun answerQuestion(attempt: Attempt): AttemptStatus {
-            if (omitted != Omitted.VOID_RULE) return ledger.statusAt(attempt, now)
+        fun reportStatus(attempt: Attempt): AttemptStatus {
+            if (omitted != OmittedRule.VOID_RULE) return ledger.statusAt(attempt, now)
             val status = ledger.statusAt(attempt, now)
             return if (status == AttemptStatus.Pending) AttemptStatus.Void else status
         }
@@ -90,23 +92,23 @@
         val key: Digest,
     ) {
         val body = Digest("body-${random.nextInt(5) / 4}")
-        private val at = router.wallMillis()
-        val bound = now + BOUND_NANOS
+        private val arrivalMillis = router.wallMillis()
+        val dispatchDeadline = now + DISPATCH_TIMEOUT_NANOS
         val arrivedAt = now
         private val attempt =
-            router.ledger.issue(if (omitted == Omitted.DISPATCH_BOUND) Long.MAX_VALUE / 2 else bound)
-        private val process =
+            router.ledger.issue(if (omitted == OmittedRule.DISPATCH_DEADLINE) Long.MAX_VALUE / 2 else dispatchDeadline)
+        private val stateMachine =
             ClaimStateMachine(ClaimRequest(key, body, claimedAt()), attempt, router.ledger)
         var sent = false
         var end = "none"
         var reused = false
 
-        fun start(): Unit = run(process.start())
+        fun start(): Unit = run(stateMachine.start())
 
-        fun verdict(verdict: ClaimVerdict): Unit = later(router) { run(process.onVerdict(verdict)) }
+        fun verdict(verdict: ClaimVerdict): Unit = later(router) { run(stateMachine.onVerdict(verdict)) }
 
         fun checkDeadline() {
-            if (now >= bound) run(process.onDeadline())
+            if (now >= dispatchDeadline) run(stateMachine.onDeadline())
         }
 
         private fun run(actions: List<ClaimAction>): Unit = actions.forEach { run(it) }
@@ -116,8 +118,8 @@
                 is ClaimAction.Submit -> router.settle(action.operation, this)
                 is ClaimAction.Record -> router.settle(action.operation, null)
                 ClaimAction.Dispatch -> later(router) { dispatch() }
-                is ClaimAction.QueryStatus -> ask(action.attempt)
-                ClaimAction.Delay -> later(router) { run(process.onDelayElapsed()) }
+                is ClaimAction.QueryStatus -> queryStatus(action.attempt)
+                ClaimAction.Delay -> later(router) { run(stateMachine.onDelayElapsed()) }
                 ClaimAction.Deliver -> end = "delivered"
                 is ClaimAction.Replay -> end = "replayed"
                 is ClaimAction.Refuse -> refuse(action)
@@ -125,42 +127,47 @@
             }
         }
 
-        private fun claimedAt(): Long = if (omitted == Omitted.ARRIVAL_ORDER) at + random.nextInt(10_000) else at
+        private fun claimedAt(): Long =
+            if (omitted == OmittedRule.ARRIVAL_ORDER) arrivalMillis + random.nextInt(10_000) else arrivalMillis
 
         private fun refuse(action: ClaimAction.Refuse) {
             end = action.outcome.wireName
             reused = action.code == ResultCode.CLAIM_KEY_REUSED
         }
 
-        private fun ask(asked: Attempt) {
-            val holder = routers.firstOrNull { it.id == asked.holder }
+        private fun queryStatus(queried: Attempt) {
+            val holder = routers.firstOrNull { it.id == queried.holder }
             if (holder == null || (holder !== router && random.nextInt(6) == 0)) {
-                return later(router) { run(process.onStatus(asked, null, holder != null)) }
+                return later(router) { run(stateMachine.onStatus(queried, null, holder != null)) }
             }
             later(holder) {
-                val status = holder.answerQuestion(asked)
-                later(router) { run(process.onStatus(asked, status, true)) }
+                val status = holder.reportStatus(queried)
+                later(router) { run(stateMachine.onStatus(queried, status, true)) }
             }
         }
 
         private fun dispatch() {
-            val passed = random.nextInt(6) > 0 && router.ledger.tryDispatch(attempt, now)
-            if (passed && random.nextInt(8) == 0) {
+            val dispatchable = random.nextInt(6) > 0 && router.ledger.tryDispatch(attempt, now)
+            if (dispatchable && random.nextInt(8) == 0) {
                 router.ledger.undoDispatch(attempt)
-            } else if (passed) {
+            } else if (dispatchable) {
                 send()
             }
             val answered = sent && random.nextInt(4) > 0
-            val answer = RecordedResponse(200, "text/plain", "").takeIf { random.nextBoolean() }
+            val response = RecordedResponse(200, "text/plain", "").takeIf { random.nextBoolean() }
             later(router) {
-                run(process.onDispatchResult(if (answered) DispatchResult.Answered(answer) else DispatchResult.Failed))
+                run(
+                    stateMachine.onDispatchResult(
+                        if (answered) DispatchResult.Answered(response) else DispatchResult.Failed,
+                    ),
+                )
             }
         }
 
         private fun send() {
             sent = true
             if (calls.any { it !== this && it.key == key && it.sent }) violations += "dispatched twice: $key"
-            if (now >= bound) violations += "dispatched after its bound: $key"
+            if (now >= dispatchDeadline) violations += "dispatched after its deadline: $key"
         }
     }
 
@@ -171,7 +178,7 @@
         events += Event(router, action)
     }
 
-    /** Runs [steps] random steps, then lets everything come to rest. */
+    /** Runs [steps] random steps with faults, then twice as many without them. */
     fun run(steps: Int = 400): ClaimSimulation {
         repeat(ROUTERS) { routers += SimulatedRouter() }
         repeat(steps) {
@@ -181,7 +188,7 @@
         shard.down = false
         repeat(steps * 2) {
             now += random.nextInt(40) * NANOS_PER_MILLI
-            step(LAST_DISTURBANCE + random.nextInt(100 - LAST_DISTURBANCE))
+            step(FIRST_FAULT_FREE_DRAW + random.nextInt(100 - FIRST_FAULT_FREE_DRAW))
         }
         checkRefusals()
         return this
@@ -191,27 +198,27 @@
         val router = routers[random.nextInt(routers.size)]
         when {
             draw < 4 -> calls += SimulatedCall(router, Digest("key-${random.nextInt(3)}")).also { it.start() }
-            draw < 5 -> replace(router)
+            draw < 5 -> restart(router)
             draw < 7 -> router.pausedUntil = now + random.nextInt(4_000) * NANOS_PER_MILLI
-            draw < LAST_DISTURBANCE -> shard.down = !shard.down && random.nextBoolean()
-            draw < 11 -> shard.applyLateWrite()
-            draw < 45 -> if (runs(router)) router.pump()
-            draw < 50 -> calls.filter { runs(it.router) }.forEach { it.checkDeadline() }
-            else -> deliver()
+            draw < FIRST_FAULT_FREE_DRAW -> shard.down = !shard.down && random.nextBoolean()
+            draw < 11 -> shard.applyDelayedWrite()
+            draw < 45 -> if (isRunning(router)) router.pump()
+            draw < 50 -> calls.filter { isRunning(it.router) }.forEach { it.checkDeadline() }
+            else -> deliverRandomEvent()
         }
     }
 
-    private fun replace(router: SimulatedRouter) {
+    private fun restart(router: SimulatedRouter) {
         router.alive = false
         routers -= router
         routers += SimulatedRouter()
     }
 
-    private fun runs(router: SimulatedRouter) = router.alive && router.pausedUntil <= now
+    private fun isRunning(router: SimulatedRouter) = router.alive && router.pausedUntil <= now
 
-    private fun deliver() {
+    private fun deliverRandomEvent() {
         events.removeIf { !it.router.alive }
-        val ready = events.filter { runs(it.router) }
+        val ready = events.filter { isRunning(it.router) }
         if (ready.isEmpty()) return
         val event = ready[random.nextInt(ready.size)]
         events -= event
@@ -221,15 +228,15 @@
     private fun checkRefusals() {
         calls.filter { it.end == Outcome.NOT_RUN.wireName }.forEach { refused ->
             val same = calls.filter { it.key == refused.key && (!refused.reused || it.body == refused.body) }
-            val untrue = same.any { it.sent && it.arrivedAt <= refused.arrivedAt }
-            if (untrue) violations += "an untrue not_run: ${refused.key}"
+            val isFalse = same.any { it.sent && it.arrivedAt <= refused.arrivedAt }
+            if (isFalse) violations += "false not_run: ${refused.key}"
         }
     }
 
     private companion object {
         const val ROUTERS = 3
-        const val LAST_DISTURBANCE = 8
+        const val FIRST_FAULT_FREE_DRAW = 8
         const val NANOS_PER_MILLI = 1_000_000L
-        const val BOUND_NANOS = 2_000 * NANOS_PER_MILLI
+        const val DISPATCH_TIMEOUT_NANOS = 2_000 * NANOS_PER_MILLI
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/claim/FaultyShard.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/claim/FaultyShard.kt
@@ -2,10 +2,10 @@
 
 import java.util.Random
 
-/** One shard's object on a platform that loses answers, delays writes, reads stale versions and has outages. */
+/** One shard's object on a platform that loses responses, delays writes, returns stale reads and has outages. */
 internal class FaultyShard(
     private val random: Random,
-    private val conditional: Boolean,
+    private val checksVersion: Boolean,
 ) {
     private class Version(
         val text: String?,
@@ -23,13 +23,13 @@
     }
 
     private val history = arrayListOf(Version(null, null))
-    private val late = ArrayList<ShardStep.Write>()
+    private val delayedWrites = ArrayList<ShardStep.Write>()
     var down = false
 
     fun read(writer: ShardWriter<*>): Boolean {
         if (down || random.nextInt(20) == 0) return false
-        val stale = if (random.nextInt(8) == 0) random.nextInt(3) else 0
-        val version = history[maxOf(0, history.size - 1 - stale)]
+        val versionsBehind = if (random.nextInt(8) == 0) random.nextInt(3) else 0
+        val version = history[maxOf(0, history.size - 1 - versionsBehind)]
         writer.onRead(version.text, version.number)
         return true
     }
@@ -38,18 +38,18 @@
         if (down) return PutResult.NoAnswer
         return when (random.nextInt(10)) {
             0 -> PutResult.NoAnswer.also { apply(write) }
-            1 -> PutResult.NoAnswer.also { late += write }
+            1 -> PutResult.NoAnswer.also { delayedWrites += write }
             2 -> PutResult.NoAnswer
             else -> if (apply(write)) PutResult.Written(checkNotNull(history.last().number)) else PutResult.Conflict
         }
     }
 
-    fun applyLateWrite() {
-        if (late.isNotEmpty()) apply(late.removeAt(random.nextInt(late.size)))
+    fun applyDelayedWrite() {
+        if (delayedWrites.isNotEmpty()) apply(delayedWrites.removeAt(random.nextInt(delayedWrites.size)))
     }
 
     private fun apply(write: ShardStep.Write): Boolean {
-        if (conditional && write.expected != history.last().number) return false
+        if (checksVersion && write.expected != history.last().number) return false
         history += Version(write.text, ShardVersion(history.size.toLong()))
         return true
     }
