--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/FleetView.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/FleetView.kt
@@ -5,9 +5,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A router process as the others know it.
+ * A router process in the fleet.
  *
- * @property peerAddress `ip:port` at which it speaks the peer protocol.
+ * @property peerAddress `ip:port` at which it serves the peer protocol.
  */
 @Serializable
 public data class Member(
@@ -17,21 +17,21 @@
 )
 
 /**
- * Which routers this router holds to be alive. Views of different routers differ for a while after every change, so
- * nothing that must hold may rest on a view alone.
+ * The routers that this router believes to be alive. Views of different routers differ for a while after every change,
+ * so no safety property may depend on a view alone.
  */
 public interface FleetView {
     /** This router. */
     public val self: Member
 
-    /** Every router held to be alive, [self] included, in order of ids. An immutable snapshot. */
+    /** The routers believed to be alive, [self] included, sorted by id. An immutable snapshot. */
     public val members: List<Member>
 
-    /** The live routers of [domain]. */
+    /** The members in failure domain [domain]. */
     public fun membersOf(domain: FailureDomainId): List<Member> = members.filter { it.failureDomain == domain }
 
     public companion object {
-        /** The view of a router that knows no other. */
+        /** A view that consists of [self] only. */
         public fun ofSelf(self: Member): FleetView = FixedFleetView(self, listOf(self))
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/MemberRecord.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/MemberRecord.kt
@@ -2,24 +2,26 @@
 
 import kotlinx.serialization.Serializable
 
-/** What a router holds another one to be. Of two records of one incarnation the later state in this list wins. */
+/**
+ * The state of a router as seen by another one. Between records of one incarnation the later state listed here wins.
+ */
 public enum class MemberState {
     ALIVE,
 
-    /** Did not answer; it is dropped unless it raises its incarnation in time. */
+    /** Did not answer. It is declared dead unless it refutes the suspicion by raising its incarnation in time. */
     SUSPECT,
 
-    /** Did not answer for long; it may still come back with a higher incarnation. */
+    /** Did not answer until the suspicion timed out; it may return with a higher incarnation. */
     DEAD,
 
-    /** Said itself that it stops; final. */
+    /** Announced its own shutdown; final. */
     LEFT,
 }
 
 /**
- * A claim about a router.
+ * One router's state as gossiped between routers.
  *
- * @property incarnation counted up by [member] alone, to contradict older claims about itself.
+ * @property incarnation version that only [member] increments, to refute older records about itself.
  */
 @Serializable
 public data class MemberRecord(
@@ -27,13 +29,13 @@
     public val incarnation: Long,
     public val state: MemberState = MemberState.ALIVE,
 ) {
-    /** Whether this record replaces [held], an earlier one of the same router. */
-    internal fun supersedes(held: MemberRecord): Boolean =
+    /** Whether this record replaces [existing], an earlier one of the same router. */
+    internal fun supersedes(existing: MemberRecord): Boolean =
         when {
-            held.state == MemberState.LEFT -> false
-            incarnation != held.incarnation -> incarnation > held.incarnation
-            else -> state > held.state
+            existing.state == MemberState.LEFT -> false
+            incarnation != existing.incarnation -> incarnation > existing.incarnation
+            else -> state > existing.state
         }
 
-    internal val inView: Boolean get() = state == MemberState.ALIVE || state == MemberState.SUSPECT
+    internal val isInView: Boolean get() = state == MemberState.ALIVE || state == MemberState.SUSPECT
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/MemberTable.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/MemberTable.kt
@@ -3,12 +3,14 @@
 import dev.almondhaven.model.RouterId
 import java.util.TreeMap
 
-/** The records of all other routers, with what has to be told of them and when suspicions and memories end. */
+/**
+ * The records of all other routers, with their remaining gossip transmissions and the deadlines at which they change.
+ */
 internal class MemberTable(
     private val self: Member,
     private val settings: MembershipSettings,
 ) {
-    private val held = TreeMap<String, Entry>()
+    private val entries = TreeMap<String, Entry>()
     private var snapshot: FleetView = FleetView.ofSelf(self)
     private var viewChanged = false
     private var nextDeadline = Long.MAX_VALUE
@@ -19,51 +21,51 @@
         var transmissionsLeft: Int,
     )
 
-    /** Members of the view, this router included. */
+    /** Number of members in the view, this router included. */
     val size: Int get() = view().members.size
 
     fun view(): FleetView {
         if (viewChanged) {
-            val others = held.values.filter { it.record.inView }.map { it.record.member }
+            val others = entries.values.filter { it.record.isInView }.map { it.record.member }
             snapshot = FixedFleetView(self, (others + self).sortedBy { it.id.value })
             viewChanged = false
         }
         return snapshot
     }
 
-    fun record(id: RouterId): MemberRecord? = held[id.value]?.record
+    fun record(id: RouterId): MemberRecord? = entries[id.value]?.record
 
     fun others(): List<Member> = view().members.filter { it.id != self.id }
 
     fun suspects(): Set<RouterId> =
-        held.values
+        entries.values
             .filter { it.record.state == MemberState.SUSPECT }
             .map { it.record.member.id }
             .toSet()
 
-    /** Addresses of dead routers, which may only have been cut off. */
+    /** Addresses of dead routers, which may only have been partitioned from this one. */
     fun deadAddresses(): List<String> =
-        held.values
+        entries.values
             .filter { it.record.state == MemberState.DEAD }
             .map { it.record.member.peerAddress }
 
-    /** Records of the dead routers that were at [address]; whoever is there now can contradict. */
+    /** Records of the dead routers last seen at [address]; the router that is there now can refute its own. */
     fun deadAt(address: String): List<MemberRecord> =
-        held.values.map { it.record }.filter { it.state == MemberState.DEAD && it.member.peerAddress == address }
+        entries.values.map { it.record }.filter { it.state == MemberState.DEAD && it.member.peerAddress == address }
 
-    /** Takes [record] in if it is news; returns whether it was. */
+    /** Stores [record] if it supersedes the existing one; returns whether it did. */
     fun merge(
         now: Long,
         record: MemberRecord,
     ): Boolean {
-        val entry = held[record.member.id.value]
-        if (entry == null && !record.inView) return false
+        val entry = entries[record.member.id.value]
+        if (entry == null && !record.isInView) return false
         if (entry != null && !record.supersedes(entry.record)) return false
         val before = entry?.record
         val deadline = deadline(now, record)
-        held[record.member.id.value] = Entry(record, deadline, settings.transmissions(held.size + 1))
+        entries[record.member.id.value] = Entry(record, deadline, settings.transmissionLimit(entries.size + 1))
         nextDeadline = minOf(nextDeadline, deadline)
-        if (before?.inView != record.inView || before.member != record.member) viewChanged = true
+        if (before?.isInView != record.isInView || before.member != record.member) viewChanged = true
         return true
     }
 
@@ -77,41 +79,43 @@
             MemberState.DEAD, MemberState.LEFT -> now + settings.forgetAfter.inWholeNanoseconds
         }
 
-    /** Ends suspicions and memories whose time is over. */
+    /**
+     * Declares routers dead whose suspicion has timed out, and removes dead and departed routers after their retention.
+     */
     fun expire(now: Long) {
         if (now < nextDeadline) return
-        val due = held.values.filter { it.deadline <= now }.map { it.record }
+        val due = entries.values.filter { it.deadline <= now }.map { it.record }
         due.forEach { record ->
             if (record.state == MemberState.SUSPECT) {
                 merge(now, record.copy(state = MemberState.DEAD))
             } else {
-                held.remove(record.member.id.value)
+                entries.remove(record.member.id.value)
             }
         }
-        nextDeadline = held.values.minOfOrNull { it.deadline } ?: Long.MAX_VALUE
+        nextDeadline = entries.values.minOfOrNull { it.deadline } ?: Long.MAX_VALUE
     }
 
-    /** Grants every suspected router [nanos] more, because this router could not listen for so long. */
+    /** Extends every suspicion by [nanos], for which this process was paused and could not receive refutations. */
     fun extendSuspicions(nanos: Long) {
-        held.values.filter { it.record.state == MemberState.SUSPECT }.forEach { it.deadline += nanos }
+        entries.values.filter { it.record.state == MemberState.SUSPECT }.forEach { it.deadline += nanos }
     }
 
-    /** The least often told news, at most [limit], counted as told once more. */
-    fun takeNews(limit: Int): List<MemberRecord> {
-        val chosen = held.values.filter { it.transmissionsLeft > 0 }.sortedByDescending { it.transmissionsLeft }
+    /** The least often transmitted updates, at most [limit]; counts one more transmission of each. */
+    fun takeUpdates(limit: Int): List<MemberRecord> {
+        val chosen = entries.values.filter { it.transmissionsLeft > 0 }.sortedByDescending { it.transmissionsLeft }
         return chosen.take(limit).map { entry ->
             entry.transmissionsLeft--
             entry.record
         }
     }
 
-    /** Records of the view that [request] asks for. */
+    /** The page of members in the view that [request] asks for. */
     fun page(request: PageRequest): List<MemberRecord> {
-        val following = request.after?.let { held.tailMap(it.value, false) } ?: held
+        val following = request.after?.let { entries.tailMap(it.value, false) } ?: entries
         return following.values
             .asSequence()
             .map { it.record }
-            .filter { it.inView }
+            .filter { it.isInView }
             .take(minOf(request.limit, settings.joinPageRecords))
             .toList()
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/Membership.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/Membership.kt
@@ -4,9 +4,10 @@
 import org.apache.commons.rng.UniformRandomProvider
 
 /**
- * Which other routers are alive, after the SWIM protocol: each interval one other router is probed; one that does not
- * answer is probed through others, then suspected, then dropped unless it contradicts by raising its incarnation. News
- * rides on the probes and their answers, so a router's cost doesn't grow with the fleet.
+ * Tracks which routers are alive with the SWIM protocol. Every interval one other router is probed; if it doesn't
+ * answer, it is probed indirectly through other routers, then suspected, and then declared dead unless it refutes the
+ * suspicion by raising its incarnation. Updates are piggybacked on probes and their answers, so the cost for each
+ * router doesn't grow with the fleet.
  *
  * Not safe for use by several threads. Times are nanoseconds of one monotonic clock.
  *
@@ -22,36 +23,36 @@
     now: Long,
 ) {
     private val table = MemberTable(self, settings)
-    private val probes = HashMap<Long, RunningProbe>()
-    private var ring = ArrayDeque<Member>()
-    private var contacts: List<String> = emptyList()
+    private val pendingProbes = HashMap<Long, PendingProbe>()
+    private var probeOrder = ArrayDeque<Member>()
+    private var contactAddresses: List<String> = emptyList()
     private var incarnation = 0L
     private var leaving = false
-    private var lastNumber = 0L
-    private var round = 0L
+    private var lastProbeNumber = 0L
+    private var roundNumber = 0L
     private var nextRoundAt = now
     private var lastTickAt = now
     private var pageCursor: RouterId? = null
-    private var largestPeerCount = 1
+    private var largestPeerViewSize = 1
 
-    private class RunningProbe(
+    private class PendingProbe(
         val target: Member,
         val startedAt: Long,
-        var indirect: Boolean = false,
+        var indirectSent: Boolean = false,
     )
 
-    /** Routers held to be alive, suspected ones included. */
+    /** The routers believed to be alive, suspected ones included. */
     public val view: FleetView get() = table.view()
 
-    /** Routers that have stopped answering. */
+    /** The suspected routers. */
     public val suspects: Set<RouterId> get() = table.suspects()
 
-    /** Sets the addresses to look for routers at: seeds and the VM list, which may be old. */
+    /** Sets addresses at which to look for further routers: the seeds and the VM list, which may be outdated. */
     public fun setContactAddresses(addresses: List<String>) {
-        contacts = addresses.filter { it != self.peerAddress }
+        contactAddresses = addresses.filter { it != self.peerAddress }
     }
 
-    /** Lets time pass; returns what has to be sent. Call it several times in a probe interval. */
+    /** Advances time to [now] and returns the messages to send. Call it several times in a probe interval. */
     public fun tick(now: Long): List<MembershipAction> {
         val gap = now - lastTickAt
         lastTickAt = now
@@ -67,7 +68,7 @@
     }
 
     private fun recoverFromPause(gap: Long) {
-        probes.clear()
+        pendingProbes.clear()
         table.extendSuspicions(gap)
     }
 
@@ -75,22 +76,22 @@
         now: Long,
         actions: MutableList<MembershipAction>,
     ) {
-        probes.entries.removeIf { (_, probe) ->
+        pendingProbes.entries.removeIf { (_, probe) ->
             val failed = now - probe.startedAt >= settings.probeTimeout.inWholeNanoseconds
             if (failed) suspect(now, probe.target)
             failed
         }
-        probes.forEach { (number, probe) ->
+        pendingProbes.forEach { (number, probe) ->
             val due = now - probe.startedAt >= settings.directTimeout.inWholeNanoseconds
-            if (due && !probe.indirect) actions += indirectProbes(number, probe)
+            if (due && !probe.indirectSent) actions += indirectProbes(number, probe)
         }
     }
 
     private fun indirectProbes(
         number: Long,
-        probe: RunningProbe,
+        probe: PendingProbe,
     ): List<MembershipAction> {
-        probe.indirect = true
+        probe.indirectSent = true
         val helpers = table.others().filter { it.id != probe.target.id }
         return sample(helpers, settings.indirectProbes).map {
             MembershipAction.IndirectProbe(number, it, probe.target)
@@ -111,15 +112,15 @@
     ) {
         val target = nextTarget()
         if (target != null) actions += direct(now, target)
-        if (target == null || round % settings.roundsPerContact == 0L) contact()?.let { actions += it }
-        round++
+        if (target == null || roundNumber % settings.roundsPerContact == 0L) contact()?.let { actions += it }
+        roundNumber++
     }
 
     private fun nextTarget(): Member? {
         while (true) {
-            if (ring.isEmpty()) ring = ArrayDeque(sample(table.others(), Int.MAX_VALUE))
-            val target = ring.removeFirstOrNull() ?: return null
-            if (table.record(target.id)?.inView == true) return target
+            if (probeOrder.isEmpty()) probeOrder = ArrayDeque(sample(table.others(), Int.MAX_VALUE))
+            val target = probeOrder.removeFirstOrNull() ?: return null
+            if (table.record(target.id)?.isInView == true) return target
         }
     }
 
@@ -128,13 +129,13 @@
         target: Member,
     ): MembershipAction {
         val probe = probe(target.peerAddress, target.id)
-        probes[probe.number] = RunningProbe(target, now)
+        pendingProbes[probe.number] = PendingProbe(target, now)
         return probe
     }
 
     private fun contact(): MembershipAction? {
         val known = view.members.map { it.peerAddress }.toSet()
-        val candidates = (contacts + table.deadAddresses()).distinct().filter { it !in known }
+        val candidates = (contactAddresses + table.deadAddresses()).distinct().filter { it !in known }
         return sample(candidates, 1).firstOrNull()?.let { probe(it, target = null) }
     }
 
@@ -142,69 +143,69 @@
         address: String,
         target: RouterId?,
     ): MembershipAction.Probe {
-        val missing = maxOf(0, largestPeerCount - view.members.size)
-        val limit = minOf(settings.joinPageRecords, settings.pageRecords + missing * PAGE_RECORDS_PER_MISSING)
-        val doubted = if (target == null) table.deadAt(address) else listOfNotNull(doubted(target))
-        val message = message(doubted).copy(pageRequest = PageRequest(pageCursor, limit))
-        return MembershipAction.Probe(++lastNumber, address, target, message)
+        val missing = maxOf(0, largestPeerViewSize - view.members.size)
+        val limit = minOf(settings.joinPageRecords, settings.pageRecords + missing * PAGE_RECORDS_PER_MISSING_MEMBER)
+        val toRefute = if (target == null) table.deadAt(address) else listOfNotNull(recordToRefute(target))
+        val message = message(toRefute).copy(pageRequest = PageRequest(pageCursor, limit))
+        return MembershipAction.Probe(++lastProbeNumber, address, target, message)
     }
 
-    /** A probe of [target] on behalf of another router; its failure says nothing here. */
+    /** A probe of [target] on behalf of another router; its failure has no effect on this router. */
     public fun probeFor(target: Member): MembershipAction = probe(target.peerAddress, target.id)
 
-    /** Tells [fanout] other routers the news at once. */
+    /** Sends the current updates to [fanout] other routers at once. */
     public fun announce(fanout: Int): List<MembershipAction> =
         sample(table.others(), fanout).map { probe(it.peerAddress, it.id) }
 
-    /** Stops taking part; the result tells [fanout] others. */
+    /** Stops probing; the result announces the shutdown to [fanout] other routers. */
     public fun leave(fanout: Int): List<MembershipAction> {
         leaving = true
         return announce(fanout)
     }
 
-    /** Takes in a probe from another router and returns the answer. */
+    /** Processes a probe from another router and returns the answer. */
     public fun onProbe(
         now: Long,
         message: MembershipMessage,
     ): MembershipMessage {
         merge(now, message)
         val page = message.pageRequest?.let { table.page(it) }.orEmpty()
-        return message(listOfNotNull(doubted(message.from.id))).copy(page = page)
+        return message(listOfNotNull(recordToRefute(message.from.id))).copy(page = page)
     }
 
-    /** Takes in the [answer] to [probe]. */
+    /** Processes the [answer] to [probe]. */
     public fun onProbeAnswered(
         now: Long,
         probe: MembershipAction.Probe,
         answer: MembershipMessage,
     ) {
-        probes.remove(probe.number)
+        pendingProbes.remove(probe.number)
         merge(now, answer)
-        turnPage(answer)
-        if (probe.target != null && probe.target != answer.from.id) replaced(now, probe.target)
+        advancePage(answer)
+        if (probe.target != null && probe.target != answer.from.id) markReplaced(now, probe.target)
     }
 
-    private fun replaced(
+    private fun markReplaced(
         now: Long,
-        gone: RouterId,
+        replaced: RouterId,
     ) {
-        val record = table.record(gone) ?: return
-        if (record.inView) table.merge(now, record.copy(state = MemberState.DEAD))
+        val record = table.record(replaced) ?: return
+        if (record.isInView) table.merge(now, record.copy(state = MemberState.DEAD))
     }
 
-    private fun turnPage(answer: MembershipMessage) {
+    private fun advancePage(answer: MembershipMessage) {
         pageCursor =
             answer.page
                 .lastOrNull()
                 ?.member
                 ?.id
-        if (pageCursor == null) largestPeerCount = view.members.size
-        largestPeerCount = maxOf(largestPeerCount, answer.memberCount)
+        if (pageCursor == null) largestPeerViewSize = view.members.size
+        largestPeerViewSize = maxOf(largestPeerViewSize, answer.memberCount)
     }
 
-    /** Another router could reach the target of the probe with this [number]. */
+    /** Reports that another router reached the target of the probe with this [number]. */
     public fun onTargetReached(number: Long) {
-        probes.remove(number)
+        pendingProbes.remove(number)
     }
 
     private fun merge(
@@ -214,23 +215,23 @@
         if (message.from.id == self.id) return
         table.merge(now, MemberRecord(message.from, message.incarnation))
         (message.records + message.page).forEach { record ->
-            if (record.member.id == self.id) contradict(record) else table.merge(now, record)
+            if (record.member.id == self.id) refute(record) else table.merge(now, record)
         }
     }
 
-    private fun contradict(record: MemberRecord) {
+    private fun refute(record: MemberRecord) {
         if (record.state != MemberState.ALIVE && record.incarnation >= incarnation) {
             incarnation = record.incarnation + 1
         }
     }
 
-    /** What the recipient has to contradict if it is alive. */
-    private fun doubted(recipient: RouterId): MemberRecord? =
+    /** The record that [recipient] has to refute if it is alive. */
+    private fun recordToRefute(recipient: RouterId): MemberRecord? =
         table.record(recipient)?.takeIf { it.state != MemberState.ALIVE }
 
-    private fun message(doubted: List<MemberRecord>): MembershipMessage {
-        val own = if (leaving) listOf(MemberRecord(self, incarnation, MemberState.LEFT)) else emptyList()
-        val records = (own + doubted + table.takeNews(settings.recordsPerMessage)).distinct()
+    private fun message(toRefute: List<MemberRecord>): MembershipMessage {
+        val departure = if (leaving) listOf(MemberRecord(self, incarnation, MemberState.LEFT)) else emptyList()
+        val records = (departure + toRefute + table.takeUpdates(settings.recordsPerMessage)).distinct()
         return MembershipMessage(self, incarnation, records, view.members.size)
     }
 
@@ -248,6 +249,6 @@
     }
 
     private companion object {
-        const val PAGE_RECORDS_PER_MISSING = 8
+        const val PAGE_RECORDS_PER_MISSING_MEMBER = 8
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipMessage.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipMessage.kt
@@ -4,9 +4,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A question for the members whose ids follow [after], from which a router learns what gossip didn't bring it.
+ * Requests a page of members in order of ids, by which a router learns of members that gossip didn't bring it.
  *
- * @property after null for the beginning.
+ * @property after id that the page follows; null for the first page.
  */
 @Serializable
 public data class PageRequest(
@@ -15,12 +15,12 @@
 )
 
 /**
- * What routers tell each other, as a probe and as the answer to one. Its size doesn't depend on the fleet's.
+ * A probe, or the answer to one. Its size doesn't depend on the size of the fleet.
  *
- * @property records recent news.
- * @property memberCount members in the sender's view.
- * @property pageRequest members that the sender wants to hear of.
- * @property page the members that the answered message asked for.
+ * @property records recent updates.
+ * @property memberCount number of members in the sender's view.
+ * @property pageRequest page of members that the sender asks for.
+ * @property page members that the probe asked for, in an answer.
  */
 @Serializable
 public data class MembershipMessage(
@@ -32,15 +32,15 @@
     public val page: List<MemberRecord> = emptyList(),
 )
 
-/** Something that the membership wants sent. */
+/** A message that [Membership] asks its caller to send. */
 public sealed interface MembershipAction {
-    /** Number to report the outcome with. */
+    /** Identifies the probe when its outcome is reported. */
     public val number: Long
 
     /**
      * Send [message] to the router at [address]; report the answer to [Membership.onProbeAnswered].
      *
-     * @property target the router expected there; null when any may answer.
+     * @property target the router expected at [address]; null if any may answer.
      */
     public data class Probe(
         override val number: Long,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipSettings.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipSettings.kt
@@ -7,15 +7,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Bounds of the membership.
+ * Parameters of [Membership].
  *
- * @property probeInterval time between two probes.
- * @property indirectProbes routers asked to probe a router that did not answer.
- * @property recordsPerMessage news in one message.
- * @property pageRecords members in an answer to a router that knows about as many as the answering one.
- * @property joinPageRecords most members in an answer to a router that knows fewer.
- * @property roundsPerContact rounds between two attempts to reach a router outside the view.
- * @property forgetAfter how long a dead router is remembered, and its address tried again.
+ * @property probeInterval time between two probe rounds.
+ * @property indirectProbes number of routers asked to probe a router that did not answer.
+ * @property recordsPerMessage most updates in one message.
+ * @property pageRecords members that a router requests per page if it knows as many as its peers.
+ * @property joinPageRecords most members per page, reached if the router knows far fewer than its peers.
+ * @property roundsPerContact probe rounds between two attempts to reach a router outside the view.
+ * @property forgetAfter how long the record of a dead router is kept and its address retried.
  */
 public data class MembershipSettings(
     public val probeInterval: Duration = 1.seconds,
@@ -26,22 +26,22 @@
     public val roundsPerContact: Int = 5,
     public val forgetAfter: Duration = 6.hours,
 ) {
-    /** Time without an answer after which other routers are asked to probe. */
+    /** Time without an answer after which indirect probes are sent. */
     internal val directTimeout: Duration get() = probeInterval / 2
 
-    /** Time without any answer after which a router is suspected. */
+    /** Time without a direct or indirect answer after which a router is suspected. */
     internal val probeTimeout: Duration get() = probeInterval * 3 / 2
 
-    /** Time between two ticks above which this process must have been paused. */
+    /** Time between two ticks above which this process is taken to have been paused. */
     internal val pauseThreshold: Duration get() = probeInterval * 2
 
-    /** How long a suspected router has to contradict in a fleet of [members]. */
-    public fun suspicionTimeout(members: Int): Duration = probeInterval * (SUSPICION_MULTIPLIER * logarithm(members))
+    /** How long a suspected router has to refute the suspicion in a fleet of [members]. */
+    public fun suspicionTimeout(members: Int): Duration = probeInterval * (SUSPICION_MULTIPLIER * fleetSizeLog2(members))
 
-    /** How many messages carry one piece of news in a fleet of [members]. */
-    internal fun transmissions(members: Int): Int = ceil(TRANSMISSION_MULTIPLIER * logarithm(members)).toInt()
+    /** How many messages carry one update in a fleet of [members]. */
+    internal fun transmissionLimit(members: Int): Int = ceil(TRANSMISSION_MULTIPLIER * fleetSizeLog2(members)).toInt()
 
-    private fun logarithm(members: Int): Double = ln(members + 1.0) / ln(2.0)
+    private fun fleetSizeLog2(members: Int): Double = ln(members + 1.0) / ln(2.0)
 
     private companion object {
         const val SUSPICION_MULTIPLIER = 3.0
--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/RendezvousHash.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/RendezvousHash.kt
@@ -4,7 +4,7 @@
 
 /**
  * Rendezvous (highest random weight) hashing: every router with the same view picks the same members for a key, and a
- * member that comes or goes moves only its own keys.
+ * member that joins or leaves moves only its own keys.
  *
  * ```
  * val owner = RendezvousHash.choose("claims/17", view.members, count = 1) { it.id.value }.firstOrNull()
@@ -18,7 +18,7 @@
         val weight: ULong,
     )
 
-    /** The [count] candidates with the highest weight for [key], heaviest first. */
+    /** The [count] candidates with the highest weight for [key], highest first. */
     public fun <T> choose(
         key: String,
         candidates: List<T>,
--- a/decision/src/test/kotlin/dev/almondhaven/decision/membership/MembershipTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/membership/MembershipTest.kt
@@ -23,7 +23,7 @@
     private fun membership(id: String) =
         Membership(member(id), settings, RandomSource.XO_RO_SHI_RO_128_PP.create(1), now = 0)
 
-    private fun hear(
+    private fun receive(
         from: String,
         vararg records: MemberRecord,
         incarnation: Long = 0,
@@ -31,8 +31,8 @@
 
     private fun ids(): List<String> = membership.view.members.map { it.id.value }
 
-    /** Lets [span] pass without any answer; returns what was to be sent. */
-    private fun silence(span: Duration): List<MembershipAction> {
+    /** Advances time by [span] without delivering any answer; returns the messages to send. */
+    private fun advanceWithoutAnswers(span: Duration): List<MembershipAction> {
         val end = now + span.inWholeNanoseconds
         val actions = mutableListOf<MembershipAction>()
         while (now < end) {
@@ -43,62 +43,62 @@
     }
 
     @Nested
-    inner class `a silent router` {
+    inner class `a router that stopped answering` {
         @Test
-        fun `is probed, probed through others, suspected and at last dropped`() {
-            hear("b")
-            val sent = silence(1_300.milliseconds)
+        fun `is probed directly, probed indirectly, suspected and finally removed`() {
+            receive("b")
+            val sent = advanceWithoutAnswers(1_300.milliseconds)
             expectThat(sent.map { it::class.simpleName }.distinct()).containsExactly("Probe")
-            silence(1_500.milliseconds)
+            advanceWithoutAnswers(1_500.milliseconds)
             expectThat(membership.suspects).isEqualTo(setOf(RouterId("b")))
             expectThat(ids()).containsExactly("a", "b")
-            silence(settings.suspicionTimeout(2) + 1.seconds)
+            advanceWithoutAnswers(settings.suspicionTimeout(2) + 1.seconds)
 
             expectThat(ids()).containsExactly("a")
         }
 
         @Test
-        fun `comes back with a higher incarnation only`() {
-            hear("b")
-            silence(30.seconds)
-            hear("b", incarnation = 0)
+        fun `returns only with a higher incarnation`() {
+            receive("b")
+            advanceWithoutAnswers(30.seconds)
+            receive("b", incarnation = 0)
             expectThat(ids()).containsExactly("a")
-            hear("b", incarnation = 1)
+            receive("b", incarnation = 1)
 
             expectThat(ids()).containsExactly("a", "b")
         }
 
         @Test
-        fun `is told that it is doubted`() {
-            hear("b")
-            silence(3.seconds)
+        fun `is told that it is suspected`() {
+            receive("b")
+            advanceWithoutAnswers(3.seconds)
 
-            expectThat(hear("b").records).containsExactly(MemberRecord(member("b"), 0, MemberState.SUSPECT))
+            expectThat(receive("b").records).containsExactly(MemberRecord(member("b"), 0, MemberState.SUSPECT))
         }
     }
 
     @Nested
     inner class `this router` {
         @Test
-        fun `contradicts what others doubt`() {
-            val answer = hear("b", MemberRecord(member("a"), 4, MemberState.DEAD))
+        fun `refutes records that declare it dead`() {
+            val answer = receive("b", MemberRecord(member("a"), 4, MemberState.DEAD))
 
             expectThat(answer.incarnation).isEqualTo(5)
         }
 
         @Test
-        fun `looks at addresses outside its view`() {
+        fun `probes contact addresses outside its view`() {
             membership.setContactAddresses(listOf("10.0.0.9:1"))
-            val probes = silence(1.seconds).filterIsInstance<MembershipAction.Probe>()
+            val probes = advanceWithoutAnswers(1.seconds).filterIsInstance<MembershipAction.Probe>()
 
             expectThat(probes.map { it.address }.distinct()).containsExactly("10.0.0.9:1")
         }
 
         @Test
-        fun `sends messages whose size doesn't depend on the fleet's`() {
+        fun `sends messages whose size doesn't depend on the size of the fleet`() {
             val page = (1..300).map { MemberRecord(member("m$it"), 0) }
             membership.onProbe(now, MembershipMessage(member("b"), 0, page))
-            val probes = silence(10.seconds).filterIsInstance<MembershipAction.Probe>()
+            val probes = advanceWithoutAnswers(10.seconds).filterIsInstance<MembershipAction.Probe>()
 
             expectThat(probes.maxOf { it.message.records.size }).isLessThanOrEqualTo(settings.recordsPerMessage + 1)
         }
@@ -107,9 +107,9 @@
     @Nested
     inner class `a router that left` {
         @Test
-        fun `stays away whatever late messages say`() {
-            hear("b", MemberRecord(member("b"), 0, MemberState.LEFT))
-            hear("b", incarnation = 7)
+        fun `stays removed despite late messages`() {
+            receive("b", MemberRecord(member("b"), 0, MemberState.LEFT))
+            receive("b", incarnation = 7)
 
             expectThat(ids()).containsExactly("a")
         }
