--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/CallRateLimiter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/CallRateLimiter.kt
@@ -1,18 +1,18 @@
 package dev.almondhaven.decision.distribution
 
-/** A token bucket that bounds how often one process calls the platform. */
+/** A token bucket that limits how often one process calls the platform. */
 public class CallRateLimiter(
     private val perSecond: Double,
     private val burst: Int,
     now: Long,
 ) {
     private var tokens = burst.toDouble()
-    private var filledAt = now
+    private var refilledAt = now
 
-    /** Whether a call may be made at [now]; counts it if so. */
+    /** Takes a token for a call at [now]; false if none is left. */
     public fun tryAcquire(now: Long): Boolean {
-        tokens = minOf(burst.toDouble(), tokens + (now - filledAt) * perSecond / NANOS_PER_SECOND)
-        filledAt = now
+        tokens = minOf(burst.toDouble(), tokens + (now - refilledAt) * perSecond / NANOS_PER_SECOND)
+        refilledAt = now
         if (tokens < 1) return false
         tokens -= 1
         return true
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/ConfigurationFreshness.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/ConfigurationFreshness.kt
@@ -6,10 +6,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * What a router tells others of its configuration.
+ * The state of a router's configuration as gossiped to other routers.
  *
  * @property confirmedMillisAgo how long ago the platform confirmed the generation, as far as the sender knows; null if
- * it never did. A span, so that clocks needn't agree.
+ * it never did. A duration rather than a timestamp, so that clocks needn't be synchronised.
  */
 @Serializable
 public data class ConfigurationGossip(
@@ -18,8 +18,8 @@
 )
 
 /**
- * When the platform last confirmed the generation in force, to this router or to one that told it. Safe for use by
- * several threads.
+ * Tracks when the platform last confirmed the generation in force, either to this router or to one that gossiped it.
+ * Safe for use by several threads.
  */
 public class ConfigurationFreshness(
     private val staleAfter: Duration,
@@ -35,18 +35,18 @@
         val at: Long,
     )
 
-    /** The platform's head was at [generation] at [at]. */
+    /** Records that the platform's head was at [generation] at [at]. */
     @Synchronized
     public fun recordConfirmation(
         generation: Generation,
         at: Long,
     ) {
-        val held = confirmation
-        val newer = held == null || generation > held.generation || (generation == held.generation && at > held.at)
-        if (newer) confirmation = Confirmation(generation, at)
+        val last = confirmation
+        val isNewer = last == null || generation > last.generation || (generation == last.generation && at > last.at)
+        if (isNewer) confirmation = Confirmation(generation, at)
     }
 
-    /** Another router told [gossip] at [now]. */
+    /** Records [gossip] of another router, received at [now]. */
     public fun recordGossip(
         now: Long,
         gossip: ConfigurationGossip,
@@ -55,22 +55,23 @@
         recordConfirmation(gossip.generation, now - age.coerceAtLeast(0).milliseconds.inWholeNanoseconds)
     }
 
-    /** What to tell others while [held] is in force. */
+    /** What to gossip while generation [current] is in force. */
     public fun gossip(
         now: Long,
-        held: Generation,
-    ): ConfigurationGossip = ConfigurationGossip(held, confirmedAt(held)?.let { (now - it) / NANOS_PER_MILLISECOND })
+        current: Generation,
+    ): ConfigurationGossip =
+        ConfigurationGossip(current, confirmedAt(current)?.let { (now - it) / NANOS_PER_MILLISECOND })
 
-    /** Nanoseconds since which [held] is unconfirmed; null while it counts as confirmed. */
+    /** Monotonic nanoseconds since which [current] is unconfirmed, once that makes it stale; null while it is fresh. */
     public fun staleSince(
         now: Long,
-        held: Generation,
+        current: Generation,
     ): Long? {
-        val since = confirmedAt(held) ?: startedAt
+        val since = confirmedAt(current) ?: startedAt
         return since.takeIf { now - it > staleAfter.inWholeNanoseconds }
     }
 
-    private fun confirmedAt(held: Generation): Long? = confirmation?.takeIf { it.generation == held }?.at
+    private fun confirmedAt(current: Generation): Long? = confirmation?.takeIf { it.generation == current }?.at
 
     private companion object {
         const val NANOS_PER_MILLISECOND = 1_000_000L
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/GossipExchange.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/GossipExchange.kt
@@ -13,18 +13,18 @@
 import kotlinx.serialization.json.JsonElement
 import kotlin.time.Duration.Companion.seconds
 
-/** What rides on gossip besides membership and configuration. */
+/** Further sections of gossip messages, besides membership and configuration. */
 public interface GossipSections {
-    /** Sections for one message, at most [budgetBytes] together. */
+    /** The sections for one message, at most [budgetBytes] in total. */
     public fun outgoing(budgetBytes: Int): Map<String, JsonElement>
 
-    /** Takes in the sections that [from] sent. */
+    /** Processes the sections received from [from]. */
     public fun incoming(
         from: RouterId,
         sections: Map<String, JsonElement>,
     )
 
-    /** Nothing rides along. */
+    /** No further sections. */
     public object None : GossipSections {
         override fun outgoing(budgetBytes: Int): Map<String, JsonElement> = emptyMap()
 
@@ -36,9 +36,9 @@
 }
 
 /**
- * One router's side of the gossip: keeps the membership, tells the generation in force, and fetches a newer
- * configuration from whoever tells of one. A configuration that is new here is announced to a few routers at once, so
- * it spreads in a number of steps that grows with the logarithm of the fleet.
+ * One router's side of the gossip protocol. It maintains the membership, gossips the configuration generation in force,
+ * and fetches a newer configuration from a router that gossips one. A new configuration is announced to a few routers
+ * at once, so the number of steps in which it spreads grows with the logarithm of the fleet size.
  *
  * Not safe for use by several threads.
  */
@@ -49,33 +49,33 @@
     private val sections: GossipSections = GossipSections.None,
 ) {
     private val json = PeerProtocol.json
-    private var announced = holder.generation
-    private var fetchEndsAt = Long.MIN_VALUE
-    private var lastTeller: Member? = null
+    private var announcedGeneration = holder.generation
+    private var fetchDeadline = Long.MIN_VALUE
+    private var newerSource: Member? = null
 
-    /** Lets time pass; returns what has to be sent. */
+    /** Advances time to [now] and returns the messages to send. */
     public fun tick(now: Long): List<PeerRequest> =
-        membership.tick(now).map { request(now, it) } + announceNews(now) + fetchAgain(now)
+        membership.tick(now).map { request(now, it) } + announceIfNew(now) + fetchIfNewer(now)
 
-    /** Answers a probe with [body]; throws [IllegalArgumentException] when it can't be read. */
+    /** Returns the answer to a probe with [body]; throws [IllegalArgumentException] if the body can't be decoded. */
     public fun answerProbe(
         now: Long,
         body: String,
     ): String {
         val message = decode(body)
         val answer = membership.onProbe(now, message.membership)
-        hear(now, message)
+        receive(now, message)
         return encode(now, answer)
     }
 
-    /** Answers a request for a newer configuration. */
+    /** Returns the answer to a request for a newer configuration. */
     public fun answerFetch(body: String): String {
         val request = json.decodeFromString(ConfigurationRequest.serializer(), body)
         val newer = holder.catalogue.takeIf { it.generation > request.newerThan }
         return json.encodeToString(ConfigurationAnswer.serializer(), ConfigurationAnswer(newer))
     }
 
-    /** The probe that another router asked for with [body]. */
+    /** The probe to send on behalf of another router, which asked for it with [body]. */
     public fun relayedProbe(
         now: Long,
         body: String,
@@ -84,7 +84,7 @@
         return request(now, membership.probeFor(target))
     }
 
-    /** Takes in the [answer] to [request], or that there was none; returns what has to be sent next. */
+    /** Processes the [answer] to [request], null if it failed, and returns the messages to send next. */
     public fun onCompleted(
         now: Long,
         request: PeerRequest,
@@ -95,10 +95,10 @@
             is PeerRequest.IndirectProbe -> answer?.let { indirectProbeAnswered(request, it) }
             is PeerRequest.Fetch -> fetched(answer)
         }
-        return announceNews(now) + fetchAgain(now)
+        return announceIfNew(now) + fetchIfNewer(now)
     }
 
-    /** Stops taking part; the result tells a few others. */
+    /** Stops probing; the result announces the shutdown to a few other routers. */
     public fun leave(now: Long): List<PeerRequest> = membership.leave(FANOUT).map { request(now, it) }
 
     private fun probeAnswered(
@@ -108,7 +108,7 @@
     ) {
         val message = decode(answer)
         membership.onProbeAnswered(now, request.probe, message.membership)
-        hear(now, message)
+        receive(now, message)
     }
 
     private fun indirectProbeAnswered(
@@ -119,36 +119,36 @@
         if (reached) membership.onTargetReached(request.number)
     }
 
-    private fun hear(
+    private fun receive(
         now: Long,
         message: GossipMessage,
     ) {
         val from = message.membership.from
         freshness.recordGossip(now, message.configuration)
-        if (message.configuration.generation > holder.generation) lastTeller = from
+        if (message.configuration.generation > holder.generation) newerSource = from
         sections.incoming(from.id, message.topics)
     }
 
-    private fun fetchAgain(now: Long): List<PeerRequest> {
-        val teller = lastTeller ?: return emptyList()
-        if (now < fetchEndsAt) return emptyList()
-        lastTeller = null
-        fetchEndsAt = now + FETCH_TIMEOUT.inWholeNanoseconds
+    private fun fetchIfNewer(now: Long): List<PeerRequest> {
+        val source = newerSource ?: return emptyList()
+        if (now < fetchDeadline) return emptyList()
+        newerSource = null
+        fetchDeadline = now + FETCH_TIMEOUT.inWholeNanoseconds
         val body = json.encodeToString(ConfigurationRequest.serializer(), ConfigurationRequest(holder.generation))
-        return listOf(PeerRequest.Fetch(teller, body))
+        return listOf(PeerRequest.Fetch(source, body))
     }
 
     private fun fetched(answer: String?) {
-        fetchEndsAt = Long.MIN_VALUE
+        fetchDeadline = Long.MIN_VALUE
         val text = answer ?: return
         json.decodeFromString(ConfigurationAnswer.serializer(), text).catalogue?.let { holder.offer(it) }
-        if (holder.generation > announced) lastTeller = null
+        if (holder.generation > announcedGeneration) newerSource = null
     }
 
-    private fun announceNews(now: Long): List<PeerRequest> {
+    private fun announceIfNew(now: Long): List<PeerRequest> {
         val held: Generation = holder.generation
-        if (held <= announced) return emptyList()
-        announced = held
+        if (held <= announcedGeneration) return emptyList()
+        announcedGeneration = held
         return membership.announce(FANOUT).map { request(now, it) }
     }
 
@@ -158,13 +158,13 @@
     ): PeerRequest =
         when (action) {
             is MembershipAction.Probe -> {
-                val to = Member(action.target ?: ANYBODY, NO_DOMAIN, action.address)
+                val to = Member(action.target ?: UNKNOWN_ROUTER, UNKNOWN_DOMAIN, action.address)
                 PeerRequest.Probe(to, encode(now, action.message), action)
             }
 
             is MembershipAction.IndirectProbe -> {
-                val body = IndirectProbeMessage(action.target)
-                val text = json.encodeToString(IndirectProbeMessage.serializer(), body)
+                val message = IndirectProbeMessage(action.target)
+                val text = json.encodeToString(IndirectProbeMessage.serializer(), message)
                 PeerRequest.IndirectProbe(action.via, text, action.number)
             }
         }
@@ -173,7 +173,8 @@
         now: Long,
         message: MembershipMessage,
     ): String {
-        val gossip = GossipMessage(message, freshness.gossip(now, holder.generation), sections.outgoing(TOPIC_BYTES))
+        val gossip =
+            GossipMessage(message, freshness.gossip(now, holder.generation), sections.outgoing(MAX_TOPIC_BYTES))
         return json.encodeToString(GossipMessage.serializer(), gossip)
     }
 
@@ -190,10 +191,10 @@
         public const val FETCH: String = PeerProtocol.CONFIGURATION_REQUEST
 
         private const val FANOUT = 3
-        private const val TOPIC_BYTES = 1_000
+        private const val MAX_TOPIC_BYTES = 1_000
         private val FETCH_TIMEOUT = 2.seconds
-        private val ANYBODY = RouterId("")
-        private val NO_DOMAIN = FailureDomainId("")
+        private val UNKNOWN_ROUTER = RouterId("")
+        private val UNKNOWN_DOMAIN = FailureDomainId("")
 
         /** Answer to an [IndirectProbeMessage]. */
         public fun indirectAnswer(reached: Boolean): String =
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/PeerRequest.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/PeerRequest.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.JsonElement
 
-/** Body of a probe and of its answer. */
+/** The body of a probe and of its answer. */
 @Serializable
 public data class GossipMessage(
     public val membership: MembershipMessage,
@@ -26,13 +26,13 @@
     public val reached: Boolean = false,
 )
 
-/** A message to another router, to be answered or reported as failed to [GossipExchange.onCompleted]. */
+/** A request to another router, whose answer or failure is reported to [GossipExchange.onCompleted]. */
 public sealed interface PeerRequest {
     public val to: Member
     public val path: String
     public val body: String
 
-    /** A probe that the membership asked for. */
+    /** A direct probe. */
     public data class Probe(
         override val to: Member,
         override val body: String,
@@ -41,7 +41,7 @@
         override val path: String get() = GossipExchange.PROBE
     }
 
-    /** A probe through another router. */
+    /** A request to [to] to probe another router. */
     public data class IndirectProbe(
         override val to: Member,
         override val body: String,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/WatchPlan.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/WatchPlan.kt
@@ -6,12 +6,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Which routers watch the platform for configurations, and how often the others ask.
+ * Decides which routers watch the platform for configuration changes by long polls, and how often the others poll.
  *
  * @property fullWatchFleetSize fleet size up to which every router watches.
- * @property watchersPerDomain watchers in each failure domain of a larger fleet.
- * @property pollsPerSecond calls that the routers that don't watch make together.
- * @property minPollInterval least time between two calls of one router that doesn't watch.
+ * @property watchersPerDomain number of watchers in each failure domain of a larger fleet.
+ * @property pollsPerSecond combined poll rate of all routers that don't watch.
+ * @property minPollInterval least mean time between two polls of a router that doesn't watch.
  */
 public data class WatchPlan(
     public val fullWatchFleetSize: Int = 8,
@@ -19,17 +19,17 @@
     public val pollsPerSecond: Double = 0.5,
     public val minPollInterval: Duration = 10.seconds,
 ) {
-    /** Whether the router whose view is [view] watches. Routers with unlike views may choose unlike watchers. */
+    /** Whether the router with [view] watches. Routers with different views may select different watchers. */
     public fun watches(view: FleetView): Boolean {
         if (view.members.size <= fullWatchFleetSize) return true
         val domain = view.membersOf(view.self.failureDomain)
-        return view.self in RendezvousHash.choose(KEY, domain, watchersPerDomain) { it.id.value }
+        return view.self in RendezvousHash.choose(HASH_KEY, domain, watchersPerDomain) { it.id.value }
     }
 
-    /** Mean time between two calls of a router that doesn't watch, in a fleet of [members]. */
+    /** Mean time between two polls of a router that doesn't watch, in a fleet of [members]. */
     public fun pollInterval(members: Int): Duration = maxOf(minPollInterval, (members / pollsPerSecond).seconds)
 
     private companion object {
-        const val KEY = "configuration-watch"
+        const val HASH_KEY = "configuration-watch"
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/WatchSchedule.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/WatchSchedule.kt
@@ -7,36 +7,36 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What a router asks the platform for next. */
+/** The next call of a router to the platform. */
 public enum class WatchCall {
-    /** Nothing is due. */
+    /** No call is due. */
     NONE,
 
-    /** Read the head. */
+    /** Read the head of the configuration. */
     READ,
 
-    /** Wait for a change of the head after the revision last seen. */
+    /** Long-poll for a change of the head after the last seen revision. */
     WATCH,
 }
 
 /**
- * When a router calls the platform for the configuration: routers that the [plan] names watch, the others read now and
- * then. Failures are retried with full jitter, and a budget bounds the calls of one process whatever happens.
+ * Schedules a router's calls to the platform for the configuration: routers selected by the [plan] watch, the others
+ * poll. Failed calls are retried with full jitter, and a rate limit bounds the calls of one process in every case.
  */
 public class WatchSchedule(
     private val plan: WatchPlan,
     random: UniformRandomProvider,
     now: Long,
 ) {
-    private val retryDelay = RetryDelay(FIRST_RETRY, LONGEST_RETRY, random)
+    private val retryDelay = RetryDelay(INITIAL_RETRY_BOUND, MAX_RETRY_BOUND, random)
     private val callLimiter = CallRateLimiter(CALLS_PER_SECOND, CALL_BURST, now)
-    private var chosenAmong: List<Member>? = null
-    private var chosen = false
-    private var hasRead = false
+    private var lastMembers: List<Member>? = null
+    private var isWatcher = false
+    private var headRead = false
     private var retryAt = now
     private var pollAt = now
 
-    /** The call to make at [now]; it counts as made. */
+    /** The call to make at [now], which is charged to the rate limit. */
     public fun next(
         now: Long,
         view: FleetView,
@@ -45,43 +45,43 @@
         val due = now >= retryAt && (watches || now >= pollAt)
         return when {
             !due || !callLimiter.tryAcquire(now) -> WatchCall.NONE
-            watches && hasRead -> WatchCall.WATCH
+            watches && headRead -> WatchCall.WATCH
             else -> WatchCall.READ
         }
     }
 
     private fun watches(view: FleetView): Boolean {
         val members = view.members
-        if (members !== chosenAmong) {
-            chosenAmong = members
-            chosen = plan.watches(view)
+        if (members !== lastMembers) {
+            lastMembers = members
+            isWatcher = plan.watches(view)
         }
-        return chosen
+        return isWatcher
     }
 
-    /** The last call was answered; [stale] tells whether the configuration in force is unconfirmed. */
+    /** Reports that the last call was answered; [stale] tells whether the configuration in force is stale. */
     public fun succeeded(
         now: Long,
         members: Int,
         stale: Boolean,
     ) {
-        hasRead = true
+        headRead = true
         retryDelay.reset()
-        val interval = if (stale) STALE_POLL else plan.pollInterval(members)
+        val interval = if (stale) STALE_POLL_INTERVAL else plan.pollInterval(members)
         pollAt = now + retryDelay.uniformDelay(interval * 2).inWholeNanoseconds
     }
 
-    /** The last call failed, so the head has to be read anew. */
+    /** Reports that the last call failed; the next call reads the head again. */
     public fun failed(now: Long) {
-        hasRead = false
+        headRead = false
         retryAt = now + retryDelay.nextDelay().inWholeNanoseconds
     }
 
     private companion object {
         const val CALLS_PER_SECOND = 2.0
         const val CALL_BURST = 10
-        val FIRST_RETRY: Duration = 500.milliseconds
-        val LONGEST_RETRY: Duration = 10.seconds
-        val STALE_POLL: Duration = 15.seconds
+        val INITIAL_RETRY_BOUND: Duration = 500.milliseconds
+        val MAX_RETRY_BOUND: Duration = 10.seconds
+        val STALE_POLL_INTERVAL: Duration = 15.seconds
     }
 }
