--- a/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipSettings.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/membership/MembershipSettings.kt
@@ -36,12 +36,12 @@
     internal val pauseThreshold: Duration get() = probeInterval * 2
 
     /** How long a suspected router has to refute the suspicion in a fleet of [members]. */
-    public fun suspicionTimeout(members: Int): Duration = probeInterval * (SUSPICION_MULTIPLIER * fleetSizeLog2(members))
+    public fun suspicionTimeout(members: Int): Duration = probeInterval * (SUSPICION_MULTIPLIER * sizeLog2(members))
 
     /** How many messages carry one update in a fleet of [members]. */
-    internal fun transmissionLimit(members: Int): Int = ceil(TRANSMISSION_MULTIPLIER * fleetSizeLog2(members)).toInt()
+    internal fun transmissionLimit(members: Int): Int = ceil(TRANSMISSION_MULTIPLIER * sizeLog2(members)).toInt()
 
-    private fun fleetSizeLog2(members: Int): Double = ln(members + 1.0) / ln(2.0)
+    private fun sizeLog2(members: Int): Double = ln(members + 1.0) / ln(2.0)
 
     private companion object {
         const val SUSPICION_MULTIPLIER = 3.0
