--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/Rehearsal.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/CdsTrainingRun.kt
@@ -1,10 +1,10 @@
 package dev.almondhaven.gateway
 
-import dev.almondhaven.gateway.net.CallerPort
 import dev.almondhaven.gateway.net.CallerRequest
 import dev.almondhaven.gateway.net.CallerServer
+import dev.almondhaven.gateway.net.InFlightRequest
 import dev.almondhaven.gateway.net.RequestHandler
-import dev.almondhaven.gateway.net.RequestInWork
+import dev.almondhaven.gateway.net.ResponseWriter
 import dev.almondhaven.model.FailureDomainId
 import dev.almondhaven.platform.WireSamples
 import dev.almondhaven.traffic.CallerLimits
@@ -22,7 +22,7 @@
  * Serves a few requests on loopback, with a store and endpoints that answer from fixed texts. The build runs it once to
  * archive the classes that serving needs, so that a process that starts takes requests sooner.
  */
-internal class Rehearsal {
+internal class CdsTrainingRun {
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
 
     private class Fixed(
@@ -30,17 +30,17 @@
     ) : RequestHandler {
         override fun serve(
             request: CallerRequest,
-            port: CallerPort,
-        ): RequestInWork {
+            port: ResponseWriter,
+        ): InFlightRequest {
             val (status, headers, body) = answer(request)
             port.answer(status, headers, body.toByteArray())
             return Done
         }
 
-        private object Done : RequestInWork {
-            override fun callerLeft() = Unit
+        private object Done : InFlightRequest {
+            override fun onCallerDisconnected() = Unit
 
-            override fun callerReady() = Unit
+            override fun onCallerWritable() = Unit
         }
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
@@ -6,13 +6,13 @@
 import dev.almondhaven.gateway.call.CallHandler
 import dev.almondhaven.gateway.call.Watchdog
 import dev.almondhaven.gateway.net.CallerServer
-import dev.almondhaven.gateway.peer.PeerLink
-import dev.almondhaven.gateway.state.ConfigurationProof
-import dev.almondhaven.gateway.state.Directory
-import dev.almondhaven.gateway.state.KindWatch
+import dev.almondhaven.gateway.peer.PeerMessenger
+import dev.almondhaven.gateway.state.ConfigurationWatcher
+import dev.almondhaven.gateway.state.HttpStoreClient
+import dev.almondhaven.gateway.state.KindWatcher
 import dev.almondhaven.gateway.state.Lifecycle
-import dev.almondhaven.gateway.state.RollOuts
-import dev.almondhaven.gateway.state.StoreLink
+import dev.almondhaven.gateway.state.RollOutController
+import dev.almondhaven.gateway.state.RoutingState
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
@@ -46,14 +46,14 @@
     private val clock = NanoClock.SYSTEM
     private val random = RandomSource.XO_RO_SHI_RO_128_PP.create()
     private val lifecycle = Lifecycle(clock)
-    private val directory = Directory(place.bounds, loop, clock)
-    private val store = StoreLink(loop, place.storeAddress, clock)
-    private val proof = ConfigurationProof(place.bounds, store, loop, clock, ::configure)
-    private val peers = PeerLink(group, place.peerAddress, loop, clock, directory)
-    private val rollOuts = RollOuts(place.bounds, store, loop, clock, random, peers::sessionRuns)
+    private val routing = RoutingState(place.bounds, loop, clock)
+    private val store = HttpStoreClient(loop, place.storeAddress, clock)
+    private val proof = ConfigurationWatcher(place.bounds, store, loop, clock, ::configure)
+    private val peers = PeerMessenger(group, place.peerAddress, loop, clock, routing)
+    private val rollOuts = RollOutController(place.bounds, store, loop, clock, random, peers::sessionRuns)
     private val context =
         CallContext(
-            directory,
+            routing,
             proof,
             rollOuts,
             EndpointPlacement(place.failureDomain),
@@ -65,11 +65,11 @@
             clock,
             random,
         )
-    private val callers = CallerServer(group, directory::limits, lifecycle::stopping, CallHandler(context))
-    private val balancer = CallerServer(group, directory::limits, { false }, ReadyHandler(::ready))
+    private val callers = CallerServer(group, routing::limits, lifecycle::stopping, CallHandler(context))
+    private val balancer = CallerServer(group, routing::limits, { false }, ReadinessHandler(::ready))
 
     private fun ready(): Boolean =
-        !lifecycle.stopping && directory.configuration != null && directory.endpointsKnown && proof.fresh
+        !lifecycle.stopping && routing.configuration != null && routing.endpointsKnown && proof.fresh
 
     /** The port on which callers are served. */
     var callerPort = 0
@@ -100,7 +100,7 @@
         kind: StoreKind,
         onList: (List<StoredObject>) -> Unit,
         onChanges: (List<StoreChange>) -> Unit,
-    ): Unit = KindWatch(kind, store, loop, random, groupingOf(kind), onList, onChanges).start()
+    ): Unit = KindWatcher(kind, store, loop, random, groupingOf(kind), onList, onChanges).start()
 
     /** How long changes of one kind may wait for others, so that one call brings them together. */
     private fun groupingOf(kind: StoreKind): Duration =
@@ -116,12 +116,12 @@
         if (configuration == null) {
             LogEvent.STORE_ENTRY_UNREADABLE.log(logger) { "configuration revision=${entry.revision}" }
         } else {
-            directory.configure(configuration)
+            routing.configure(configuration)
         }
     }
 
     private fun endpointsListed(entries: List<StoredObject>): Unit =
-        directory.listed(entries.mapNotNull(::endpoint), goneAt())
+        routing.listed(entries.mapNotNull(::endpoint), goneAt())
 
     private fun endpoint(entry: StoredObject) =
         entry.asEndpoint().also {
@@ -138,31 +138,31 @@
             if (listing ==
                 null
             ) {
-                directory.remove(EndpointId(change.entry.name), goneAt())
+                routing.remove(EndpointId(change.entry.name), goneAt())
             } else {
-                directory.update(listing)
+                routing.update(listing)
             }
         }
     }
 
     /** When an entry that is missing now counts as gone: at once, unless the store has just come back. */
     private fun goneAt(): Long {
-        val returned = store.returnedAt ?: return clock.nanos()
-        return maxOf(clock.nanos(), returned + Directory.LIST_RECOVERY.inWholeNanoseconds)
+        val returned = store.recoveredAt ?: return clock.nanos()
+        return maxOf(clock.nanos(), returned + RoutingState.LIST_RECOVERY.inWholeNanoseconds)
     }
 
     private fun evacuationsListed(entries: List<StoredObject>) {
-        directory.evacuated = entries.filterNot { it.removed }.map { it.name }.toSet()
-        LogEvent.EVACUATIONS_CHANGED.log(logger) { "domains=${directory.evacuated}" }
+        routing.evacuated = entries.filterNot { it.removed }.map { it.name }.toSet()
+        LogEvent.EVACUATIONS_CHANGED.log(logger) { "domains=${routing.evacuated}" }
     }
 
     private fun evacuationsChanged(changes: List<StoreChange>) {
         changes.forEach { change ->
             val gone = change.removed || change.entry.removed
-            directory.evacuated =
-                if (gone) directory.evacuated - change.entry.name else directory.evacuated + change.entry.name
+            routing.evacuated =
+                if (gone) routing.evacuated - change.entry.name else routing.evacuated + change.entry.name
         }
-        LogEvent.EVACUATIONS_CHANGED.log(logger) { "domains=${directory.evacuated}" }
+        LogEvent.EVACUATIONS_CHANGED.log(logger) { "domains=${routing.evacuated}" }
     }
 
     private fun rollOutChanged(change: StoreChange) {
@@ -196,7 +196,7 @@
     }
 
     private fun routersKnown() {
-        directory.routers = routers.size.coerceAtLeast(1)
+        routing.routers = routers.size.coerceAtLeast(1)
         peers.known(routers.values.filterNotNull().filter { it != place.peerAddress })
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/GatewayMain.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/GatewayMain.kt
@@ -18,9 +18,9 @@
 private val logger = KotlinLogging.logger {}
 private const val EXIT_CONFIGURATION = 78
 
-/** Runs the router, or with `rehearse` a [Rehearsal]; ends with status 78 if the settings are wrong. */
+/** Runs the router, or with `rehearse` a [CdsTrainingRun]; ends with status 78 if the settings are wrong. */
 public fun main(arguments: Array<String>) {
-    if (arguments.contentEquals(arrayOf("rehearse"))) exitProcess(Rehearsal().run())
+    if (arguments.contentEquals(arrayOf("rehearse"))) exitProcess(CdsTrainingRun().run())
     val place = readPlace() ?: exitProcess(EXIT_CONFIGURATION)
     val stop = CountDownLatch(1)
     Signal.handle(Signal("TERM")) { stop.countDown() }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/ReadyHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/ReadinessHandler.kt
@@ -1,28 +1,28 @@
 package dev.almondhaven.gateway
 
-import dev.almondhaven.gateway.call.OwnAnswer
-import dev.almondhaven.gateway.net.CallerPort
+import dev.almondhaven.gateway.call.RouterResponse
 import dev.almondhaven.gateway.net.CallerRequest
+import dev.almondhaven.gateway.net.InFlightRequest
 import dev.almondhaven.gateway.net.RequestHandler
-import dev.almondhaven.gateway.net.RequestInWork
+import dev.almondhaven.gateway.net.ResponseWriter
 
 /** Tells the balancer whether this router takes new connections. */
-internal class ReadyHandler(
+internal class ReadinessHandler(
     private val ready: () -> Boolean,
 ) : RequestHandler {
     override fun serve(
         request: CallerRequest,
-        port: CallerPort,
-    ): RequestInWork {
+        port: ResponseWriter,
+    ): InFlightRequest {
         val status = if (ready()) OK else UNAVAILABLE
-        port.answer(OwnAnswer.of(status, null, if (status == OK) "ready" else "not ready"))
+        port.answer(RouterResponse.of(status, null, if (status == OK) "ready" else "not ready"))
         return Nothing
     }
 
-    private object Nothing : RequestInWork {
-        override fun callerLeft() = Unit
+    private object Nothing : InFlightRequest {
+        override fun onCallerDisconnected() = Unit
 
-        override fun callerReady() = Unit
+        override fun onCallerWritable() = Unit
     }
 
     private companion object {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Admission.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Admission.kt
@@ -18,22 +18,22 @@
     private val context: CallContext,
 ) {
     /** Whether it is known what is in force; before that every request is turned away. */
-    val ready: Boolean get() = context.directory.configuration != null && context.directory.endpointsKnown
+    val ready: Boolean get() = context.routing.configuration != null && context.routing.endpointsKnown
 
     /** The call that [request] makes, or the answer that ends it. */
-    fun admit(request: CallerRequest): Either<OwnAnswer, AdmittedCall> {
+    fun admit(request: CallerRequest): Either<RouterResponse, AdmittedCall> {
         val demand =
             WireCalls.demand { request.headers.get(it) }
-                ?: return OwnAnswer.of(BAD_REQUEST, null, "no request id").left()
+                ?: return RouterResponse.of(BAD_REQUEST, null, "no request id").left()
         val id = demand.requestId
         if (context.lifecycle.stoppingFor() >
             SERVED_WHILE_STOPPING
         ) {
             return notRun(id, ELSEWHERE, "the router is stopping")
         }
-        val configuration = context.directory.configuration
+        val configuration = context.routing.configuration
         if (configuration == null ||
-            !context.directory.endpointsKnown
+            !context.routing.endpointsKnown
         ) {
             return notRun(id, STARTING, "no configuration yet")
         }
@@ -55,9 +55,9 @@
         status: Int,
         id: String,
         reason: String,
-    ): Either<OwnAnswer, Nothing> =
+    ): Either<RouterResponse, Nothing> =
         if (context.proof.fresh) {
-            OwnAnswer
+            RouterResponse
                 .of(
                     status,
                     id,
@@ -71,7 +71,7 @@
         id: String,
         retryAfter: Duration,
         reason: String,
-    ): Either<OwnAnswer, Nothing> = OwnAnswer.notRun(id, retryAfter, reason).left()
+    ): Either<RouterResponse, Nothing> = RouterResponse.notExecuted(id, retryAfter, reason).left()
 
     private companion object {
         const val BAD_REQUEST = 400
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
@@ -1,10 +1,10 @@
 package dev.almondhaven.gateway.call
 
-import dev.almondhaven.gateway.net.HeadVerdict
+import dev.almondhaven.gateway.net.HeadAction
 import dev.almondhaven.gateway.net.OutboundCall
 import dev.almondhaven.gateway.net.OutboundListener
 import dev.almondhaven.gateway.net.OutboundRequest
-import dev.almondhaven.gateway.state.KnownEndpoint
+import dev.almondhaven.gateway.state.EndpointHandle
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.platform.EndpointTerms
 import dev.almondhaven.platform.WireCalls
@@ -31,12 +31,12 @@
     private val context: CallContext,
     private val exchange: Exchange,
     private val call: AdmittedCall,
-    val endpoint: KnownEndpoint,
+    val endpoint: EndpointHandle,
     val model: String?,
 ) : OutboundListener {
     private enum class Stage { WAITING, EVENTS, WHOLE, FAILURE, STATED_NOT_RUN, SETTLED }
 
-    private val belief = endpoint.belief
+    private val state = endpoint.state
     private val startedAt = context.clock.nanos()
     private var stage = Stage.WAITING
     private var outbound: OutboundCall? = null
@@ -55,22 +55,22 @@
         private set
 
     fun start(resumeAfter: Long?) {
-        val listing = belief.listing
+        val listing = state.listing
         val now = context.clock.nanos()
         val demand = exchange.selection.demandOf(call.demand, model ?: call.demand.model)
         if (call.demand.promptTokens > 0) {
-            unread = (demand.promptTokens - belief.cache.tokensHeld(demand.model, demand.promptParts)).coerceAtLeast(0)
-            reading = belief.speed.millis(demand.model, unread)
-            belief.cache.read(demand.model, demand.promptParts)
+            unread = (demand.promptTokens - state.cache.tokensHeld(demand.model, demand.promptParts)).coerceAtLeast(0)
+            reading = state.speed.millis(demand.model, unread)
+            state.cache.read(demand.model, demand.promptParts)
         }
-        belief.started(reading)
+        state.started(reading)
         call.demand.session?.let { context.rollOuts.runBegins(call.service, it, listing.version) }
         context.peers.readingBegins(readingKey(), listing.id, reading)
-        if (belief.cold.cold(now)) {
-            belief.cold.sent(
+        if (state.cold.cold(now)) {
+            state.cold.sent(
                 now,
                 call.configuration.services[call.service]?.coldRequestsPerSecond ?: 0.0,
-                context.directory.routers,
+                context.routing.routers,
             )
         }
         val terms =
@@ -110,16 +110,16 @@
     override fun head(
         status: Int,
         headers: HttpHeaders,
-    ): HeadVerdict {
+    ): HeadAction {
         val signs = WireCalls.signs(status) { headers.get(it) }
         if (signs.requestId != null && signs.requestId != call.id) {
             LogEvent.ENDPOINT_ANSWER_BAD.log(logger) {
-                "request=${call.id} endpoint=${belief.listing.id} answer of ${signs.requestId}"
+                "request=${call.id} endpoint=${state.listing.id} answer of ${signs.requestId}"
             }
-            return HeadVerdict.SKIP
+            return HeadAction.SKIP
         }
-        signs.load?.let { belief.reported(it, context.clock.nanos()) }
-        signs.coldLeft?.let { belief.cold.coldUntil(context.clock.nanos() + it.inWholeNanoseconds) }
+        signs.load?.let { state.reported(it, context.clock.nanos()) }
+        signs.coldLeft?.let { state.cold.coldUntil(context.clock.nanos() + it.inWholeNanoseconds) }
         this.status = status
         this.headers = WireCalls.toCaller(headers)
         stage = stageOf(status, signs, headers)
@@ -128,7 +128,7 @@
             Stage.SETTLED -> lose("a success without its signature")
             else -> noteFirstAnswer()
         }
-        return HeadVerdict.TAKE
+        return HeadAction.TAKE
     }
 
     private fun stageOf(
@@ -154,13 +154,13 @@
     private fun beginEvents(signs: AnswerSigns) {
         noteFirstAnswer()
         endReading()
-        firstAnswerMillis?.let { belief.speed.observed(model ?: call.demand.model.orEmpty(), unread, it) }
+        firstAnswerMillis?.let { state.speed.observed(model ?: call.demand.model.orEmpty(), unread, it) }
         val larger = exchange.largerModel(this, signs.confidence)
         if (larger != null) {
             noteSuccess()
             settle()
             outbound?.cancel()
-            exchange.attemptEnded(this, AttemptOutcome.Dropped(larger))
+            exchange.attemptEnded(this, AttemptOutcome.Escalated(larger))
         } else {
             exchange.eventsBegin(this, status, headers, signs.confidence)
         }
@@ -169,8 +169,8 @@
     private fun endReading() {
         if (readingEnded) return
         readingEnded = true
-        belief.readingEnded(reading)
-        context.peers.readingEnds(readingKey(), belief.listing.id, reading)
+        state.readingEnded(reading)
+        context.peers.readingEnds(readingKey(), state.listing.id, reading)
     }
 
     private fun readingKey(): String = "${call.id}/$model"
@@ -231,14 +231,14 @@
     }
 
     private fun endFailure() {
-        context.rollOuts.answered(call.service, belief.listing.version, failed = true)
+        context.rollOuts.answered(call.service, state.listing.version, failed = true)
         noteFailure()
-        report(AttemptOutcome.Refused(FailureAnswer(status, headers, held.toByteArray())))
+        report(AttemptOutcome.Failed(ErrorResponse(status, headers, held.toByteArray())))
     }
 
     private fun succeed(deliver: () -> Unit) {
         noteSuccess()
-        context.rollOuts.answered(call.service, belief.listing.version, failed = false)
+        context.rollOuts.answered(call.service, state.listing.version, failed = false)
         settle()
         deliver()
     }
@@ -251,7 +251,7 @@
         if (sent) noteFailure() else noteUnreachable()
         report(
             when {
-                !sent -> AttemptOutcome.NotRun("no connection: $reason", arrived = false)
+                !sent -> AttemptOutcome.NotExecuted("no connection: $reason", arrived = false)
                 stage == Stage.STATED_NOT_RUN -> statedNotRun()
                 else -> AttemptOutcome.Unknown(reason)
             },
@@ -259,7 +259,7 @@
     }
 
     private fun statedNotRun() =
-        AttemptOutcome.NotRun("the endpoint answered $status and has not run it", arrived = true)
+        AttemptOutcome.NotExecuted("the endpoint answered $status and has not run it", arrived = true)
 
     /** Gives the answer up as unusable. */
     private fun lose(reason: String) {
@@ -279,25 +279,25 @@
         stage = Stage.SETTLED
         context.watchdog.release(this)
         endReading()
-        belief.ended()
-        call.demand.session?.let { context.rollOuts.runEnds(call.service, it, belief.listing.version) }
+        state.ended()
+        call.demand.session?.let { context.rollOuts.runEnds(call.service, it, state.listing.version) }
     }
 
     private fun noteSuccess() {
-        belief.succeeded(context.clock.nanos())
+        state.succeeded(context.clock.nanos())
     }
 
     private fun noteFailure() {
-        if (belief.failed(context.clock.nanos(), context.random)) {
-            LogEvent.ENDPOINT_EJECTED.log(logger) { "endpoint=${belief.listing.id} service=${call.service}" }
+        if (state.failed(context.clock.nanos(), context.random)) {
+            LogEvent.ENDPOINT_EJECTED.log(logger) { "endpoint=${state.listing.id} service=${call.service}" }
         }
     }
 
     private fun noteUnreachable() {
-        if (belief.unreachable(context.clock.nanos(), context.random)) {
+        if (state.unreachable(context.clock.nanos(), context.random)) {
             LogEvent.ENDPOINT_EJECTED.log(
                 logger,
-            ) { "endpoint=${belief.listing.id} service=${call.service} unreachable" }
+            ) { "endpoint=${state.listing.id} service=${call.service} unreachable" }
         }
     }
 
@@ -318,7 +318,7 @@
 
     /** An endpoint that reads a long prompt pauses between the events of others; any other one is silent sooner. */
     private fun pausePatience(now: Long): Duration =
-        if (belief.waitingMillis(now) > READING_THAT_DELAYS_MILLIS) PAUSE_PATIENCE_WHILE_READING else PAUSE_PATIENCE
+        if (state.waitingMillis(now) > READING_THAT_DELAYS_MILLIS) PAUSE_PATIENCE_WHILE_READING else PAUSE_PATIENCE
 
     /** What can't be repeated is waited for; the endpoint's other requests go elsewhere. */
     private fun suspect() {
@@ -329,13 +329,13 @@
 
     private fun firstAnswerPatience(): Duration =
         if (call.demand.promptTokens > 0) {
-            FIRST_EVENT_PATIENCE + belief.waitingMillis(context.clock.nanos()).milliseconds * READING_FACTOR
+            FIRST_EVENT_PATIENCE + state.waitingMillis(context.clock.nanos()).milliseconds * READING_FACTOR
         } else {
             (call.route.latencyObjective * OBJECTIVES_UNTIL_REPEAT).coerceAtLeast(SHORTEST_PATIENCE)
         }
 
     override fun toString(): String =
-        "endpoint=${belief.listing.id} version=${belief.listing.version} model=$model unread=$unread " +
+        "endpoint=${state.listing.id} version=${state.listing.version} model=$model unread=$unread " +
             "readingMillis=${reading.toInt()} attemptMillis=${firstAnswerMillis?.toInt()}"
 
     private companion object {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AttemptOutcome.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AttemptOutcome.kt
@@ -3,14 +3,14 @@
 /** How an attempt at one endpoint ended without serving the caller. */
 internal sealed interface AttemptOutcome {
     /** The endpoint states that it has not run the request, or no byte has left for it: then it has not [arrived]. */
-    data class NotRun(
+    data class NotExecuted(
         val reason: String,
         val arrived: Boolean,
     ) : AttemptOutcome
 
     /** The endpoint has answered with a failure. */
-    class Refused(
-        val answer: FailureAnswer,
+    class Failed(
+        val answer: ErrorResponse,
     ) : AttemptOutcome
 
     /** The request may have run; its answer is lost, unusable or late. */
@@ -19,7 +19,7 @@
     ) : AttemptOutcome
 
     /** The answer was given up in favour of a larger model. */
-    data class Dropped(
+    data class Escalated(
         val model: String,
     ) : AttemptOutcome
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
@@ -2,23 +2,23 @@
 
 import dev.almondhaven.decision.traffic.EndpointPlacement
 import dev.almondhaven.decision.traffic.ModelSizing
-import dev.almondhaven.gateway.peer.PeerLink
-import dev.almondhaven.gateway.state.ConfigurationProof
-import dev.almondhaven.gateway.state.Directory
+import dev.almondhaven.gateway.peer.PeerMessenger
+import dev.almondhaven.gateway.state.ConfigurationWatcher
 import dev.almondhaven.gateway.state.Lifecycle
-import dev.almondhaven.gateway.state.RollOuts
+import dev.almondhaven.gateway.state.RollOutController
+import dev.almondhaven.gateway.state.RoutingState
 import dev.almondhaven.model.NanoClock
 import io.netty.channel.EventLoop
 import org.apache.commons.rng.UniformRandomProvider
 
 /** What serving a request needs of the rest of the router. */
 internal class CallContext(
-    val directory: Directory,
-    val proof: ConfigurationProof,
-    val rollOuts: RollOuts,
+    val routing: RoutingState,
+    val proof: ConfigurationWatcher,
+    val rollOuts: RollOutController,
     val placement: EndpointPlacement,
     val sizing: ModelSizing,
-    val peers: PeerLink,
+    val peers: PeerMessenger,
     val watchdog: Watchdog,
     val lifecycle: Lifecycle,
     val loop: EventLoop,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/StartingRequest.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/DeferredRequest.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.call
 
-import dev.almondhaven.gateway.net.RequestInWork
+import dev.almondhaven.gateway.net.InFlightRequest
 import io.netty.channel.EventLoop
 import java.util.concurrent.TimeUnit
 
@@ -9,14 +9,14 @@
  * soon as it listens. It waits until [known], which takes one answer of the store, and is then served; after a short
  * while it is served in any case, which means that it is turned away. Lives on the event loop.
  */
-internal class StartingRequest(
+internal class DeferredRequest(
     private val loop: EventLoop,
     private val known: () -> Boolean,
-    private val serve: () -> RequestInWork,
-) : RequestInWork {
+    private val serve: () -> InFlightRequest,
+) : InFlightRequest {
     private var waitedMillis = 0L
     private var left = false
-    private var served: RequestInWork? = null
+    private var served: InFlightRequest? = null
 
     init {
         checkLater()
@@ -32,13 +32,13 @@
         if (known() || waitedMillis >= LONGEST_MILLIS) served = serve() else checkLater()
     }
 
-    override fun callerLeft() {
+    override fun onCallerDisconnected() {
         left = true
-        served?.callerLeft()
+        served?.onCallerDisconnected()
     }
 
-    override fun callerReady() {
-        served?.callerReady()
+    override fun onCallerWritable() {
+        served?.onCallerWritable()
     }
 
     private companion object {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelection.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
@@ -2,12 +2,12 @@
 
 import dev.almondhaven.decision.traffic.PlacingDemand
 import dev.almondhaven.decision.traffic.VersionChoice
-import dev.almondhaven.gateway.state.KnownEndpoint
+import dev.almondhaven.gateway.state.EndpointHandle
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.traffic.CallDemand
 
 /** Finds the endpoints that may run a call, and the best of them. */
-internal class EndpointSelection(
+internal class EndpointSelector(
     private val context: CallContext,
 ) {
     /**
@@ -17,43 +17,43 @@
     fun usable(
         call: AdmittedCall,
         versions: VersionChoice,
-    ): List<KnownEndpoint> {
-        val inService = context.directory.endpointsOf(call.service).filter(::inService)
-        val preferred = inService.filter { versions.allows(it.belief.listing.version) }
+    ): List<EndpointHandle> {
+        val inService = context.routing.endpointsOf(call.service).filter(::inService)
+        val preferred = inService.filter { versions.allows(it.state.listing.version) }
         return if (preferred.isEmpty() && versions.bindsOnlyIfListed) inService else preferred
     }
 
-    private fun inService(endpoint: KnownEndpoint): Boolean {
-        val listing = endpoint.belief.listing
-        return !listing.leaving && listing.failureDomain.value !in context.directory.evacuated
+    private fun inService(endpoint: EndpointHandle): Boolean {
+        val listing = endpoint.state.listing
+        return !listing.leaving && listing.failureDomain.value !in context.routing.evacuated
     }
 
     /** The best of [usable], one that was not [tried] if there is any. */
     fun choose(
-        usable: List<KnownEndpoint>,
+        usable: List<EndpointHandle>,
         tried: Set<EndpointId>,
         demand: PlacingDemand,
-    ): KnownEndpoint? {
-        val untried = usable.filter { it.belief.listing.id !in tried }
+    ): EndpointHandle? {
+        val untried = usable.filter { it.state.listing.id !in tried }
         return best(untried, demand) ?: best(usable - untried.toSet(), demand)
     }
 
     /** Milliseconds until the best of [usable] is expected to begin its answer. */
     fun expectedMillis(
-        usable: List<KnownEndpoint>,
+        usable: List<EndpointHandle>,
         demand: PlacingDemand,
-    ): Double = context.placement.expectedMillis(usable.map { it.belief }, demand, context.clock.nanos())
+    ): Double = context.placement.expectedMillis(usable.map { it.state }, demand, context.clock.nanos())
 
     /** Milliseconds of reading that wait at one of [usable] on average. */
-    fun backlogMillis(usable: List<KnownEndpoint>): Double =
-        context.placement.backlogMillis(usable.map { it.belief }, context.clock.nanos())
+    fun backlogMillis(usable: List<EndpointHandle>): Double =
+        context.placement.backlogMillis(usable.map { it.state }, context.clock.nanos())
 
     private fun best(
-        among: List<KnownEndpoint>,
+        among: List<EndpointHandle>,
         demand: PlacingDemand,
-    ): KnownEndpoint? {
-        val chosen = context.placement.choose(among.map { it.belief }, demand, context.clock.nanos()) ?: return null
-        return among.first { it.belief === chosen }
+    ): EndpointHandle? {
+        val chosen = context.placement.choose(among.map { it.state }, demand, context.clock.nanos()) ?: return null
+        return among.first { it.state === chosen }
     }
 
     /** What placing a call on [model] needs to know; null for the model of plain services. */
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
@@ -2,8 +2,8 @@
 
 import dev.almondhaven.decision.traffic.SizingOutlook
 import dev.almondhaven.decision.traffic.VersionChoice
-import dev.almondhaven.gateway.net.CallerPort
-import dev.almondhaven.gateway.net.RequestInWork
+import dev.almondhaven.gateway.net.InFlightRequest
+import dev.almondhaven.gateway.net.ResponseWriter
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.traffic.CallDemand
@@ -21,10 +21,10 @@
  */
 internal class Exchange(
     private val context: CallContext,
-    val selection: EndpointSelection,
+    val selection: EndpointSelector,
     private val call: AdmittedCall,
-    private val port: CallerPort,
-) : RequestInWork {
+    private val port: ResponseWriter,
+) : InFlightRequest {
     private val tried = LinkedHashSet<EndpointId>()
     private var attempt: Attempt? = null
     private var timeout: Future<*>? = null
@@ -40,7 +40,7 @@
     /** Whether a run may have had an effect that the caller must not be told to repeat. */
     private var unsettled = false
     private var model: String? = null
-    private var lastFailure: FailureAnswer? = null
+    private var lastFailure: ErrorResponse? = null
 
     /** Whether the caller has received the head of an answer. */
     private var begun = false
@@ -74,7 +74,7 @@
         val demand = selection.demandOf(call.demand, model ?: call.demand.model)
         val chosen = selection.choose(usable, tried, demand) ?: return unplaced(usable.isNotEmpty())
         val next = Attempt(context, this, call, chosen, model)
-        tried += chosen.belief.listing.id
+        tried += chosen.state.listing.id
         sends++
         attempt = next
         next.start(if (begun) lastEvent else call.demand.resumeAfter)
@@ -87,13 +87,13 @@
             pause = context.loop.schedule(::dispatch, PLACE_AGAIN_MILLIS, TimeUnit.MILLISECONDS)
             return
         }
-        giveUp("no endpoint takes the request; listed=${context.directory.endpointsOf(call.service).size}")
+        giveUp("no endpoint takes the request; listed=${context.routing.endpointsOf(call.service).size}")
     }
 
     /** Whether the attempt in work may be given up for another one: without that the caller would be left with nothing. */
     fun mayRepeat(): Boolean =
         call.route.repeatable && runs + 1 < call.route.mostAttempts && mayRun() &&
-            context.directory.budgetOf(call.service).available(context.clock.nanos()) >= 1
+            context.routing.budgetOf(call.service).available(context.clock.nanos()) >= 1
 
     /** Whether another attempt may run the request, with none in work. */
     private fun mayRun(): Boolean =
@@ -134,29 +134,29 @@
             "request=${call.id} $ended outcome=${describe(outcome)} sends=$sends events=$events"
         }
         when (outcome) {
-            is AttemptOutcome.NotRun -> repeatOrGiveUp(outcome.reason, spends = outcome.arrived)
-            is AttemptOutcome.Dropped -> dropped(outcome)
-            is AttemptOutcome.Refused -> refused(outcome)
+            is AttemptOutcome.NotExecuted -> repeatOrGiveUp(outcome.reason, spends = outcome.arrived)
+            is AttemptOutcome.Escalated -> dropped(outcome)
+            is AttemptOutcome.Failed -> refused(outcome)
             is AttemptOutcome.Unknown -> unknown(outcome)
         }
     }
 
     private fun describe(outcome: AttemptOutcome): String =
         when (outcome) {
-            is AttemptOutcome.NotRun -> "not-run (${outcome.reason})"
-            is AttemptOutcome.Dropped -> "dropped for ${outcome.model}"
-            is AttemptOutcome.Refused -> "failed with ${outcome.answer.status}"
+            is AttemptOutcome.NotExecuted -> "not-run (${outcome.reason})"
+            is AttemptOutcome.Escalated -> "dropped for ${outcome.model}"
+            is AttemptOutcome.Failed -> "failed with ${outcome.answer.status}"
             is AttemptOutcome.Unknown -> "unknown (${outcome.reason})"
         }
 
-    private fun dropped(outcome: AttemptOutcome.Dropped) {
+    private fun dropped(outcome: AttemptOutcome.Escalated) {
         runs++
         model = outcome.model
         tried.clear()
         dispatch()
     }
 
-    private fun refused(outcome: AttemptOutcome.Refused) {
+    private fun refused(outcome: AttemptOutcome.Failed) {
         runs++
         unsettled = true
         lastFailure = outcome.answer
@@ -179,7 +179,7 @@
     }
 
     private fun spendRepeat(part: Double = 1.0): Boolean =
-        context.directory.budgetOf(call.service).trySpend(context.clock.nanos(), part)
+        context.routing.budgetOf(call.service).trySpend(context.clock.nanos(), part)
 
     private fun giveUp(reason: String) {
         val failure = lastFailure
@@ -189,7 +189,7 @@
             }
 
             !unsettled -> {
-                finish("not run: $reason") { port.answer(OwnAnswer.notRun(call.id, retryAfter(), reason)) }
+                finish("not run: $reason") { port.answer(RouterResponse.notExecuted(call.id, retryAfter(), reason)) }
             }
 
             failure != null && !promises(failure) -> {
@@ -199,13 +199,13 @@
             }
 
             else -> {
-                finish("failed: $reason") { port.answer(OwnAnswer.of(BAD_GATEWAY, call.id, reason)) }
+                finish("failed: $reason") { port.answer(RouterResponse.of(BAD_GATEWAY, call.id, reason)) }
             }
         }
     }
 
     /** Whether the status of [failure] would promise that the request has not run, which the endpoint did not state. */
-    private fun promises(failure: FailureAnswer): Boolean = failure.status in PROMISES_NOT_RUN
+    private fun promises(failure: ErrorResponse): Boolean = failure.status in PROMISES_NOT_RUN
 
     private fun retryAfter(): Duration = RETRY_AFTER + (context.random.nextDouble() * RETRY_SPREAD_MILLIS).milliseconds
 
@@ -269,22 +269,22 @@
 
             running == null && !unsettled -> {
                 finish("not run in time") {
-                    port.answer(OwnAnswer.notRun(call.id, retryAfter(), "no endpoint in time"))
+                    port.answer(RouterResponse.notExecuted(call.id, retryAfter(), "no endpoint in time"))
                 }
             }
 
             else -> {
-                finish("timed out") { port.answer(OwnAnswer.of(GATEWAY_TIMEOUT, call.id, "no answer in time")) }
+                finish("timed out") { port.answer(RouterResponse.of(GATEWAY_TIMEOUT, call.id, "no answer in time")) }
             }
         }
     }
 
-    override fun callerLeft() {
+    override fun onCallerDisconnected() {
         if (finished) return
         finish("the caller left") {}
     }
 
-    override fun callerReady() {
+    override fun onCallerWritable() {
         attempt?.read(enabled = true)
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/OwnAnswer.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/RouterResponse.kt
@@ -6,7 +6,7 @@
 import kotlin.time.DurationUnit
 
 /** An answer of the router's own; it bears no endpoint's signature. */
-internal class OwnAnswer private constructor(
+internal class RouterResponse private constructor(
     val status: Int,
     val requestId: String?,
     val reason: String,
@@ -17,11 +17,11 @@
         private const val UNAVAILABLE = 503
 
         /** The request has not run and never will; it may come again after [retryAfter]. */
-        fun notRun(
+        fun notExecuted(
             requestId: String?,
             retryAfter: Duration,
             reason: String,
-        ): OwnAnswer {
+        ): RouterResponse {
             val seconds = String.format(Locale.ROOT, "%.3f", retryAfter.toDouble(DurationUnit.SECONDS))
             return of(UNAVAILABLE, requestId, reason, listOf("Retry-After" to seconds))
         }
@@ -32,9 +32,9 @@
             requestId: String?,
             reason: String,
             more: List<Pair<String, String>> = emptyList(),
-        ): OwnAnswer {
+        ): RouterResponse {
             val headers = WireCalls.ownAnswer(requestId) + ("Content-Type" to "text/plain; charset=utf-8") + more
-            return OwnAnswer(status, requestId, reason, headers, "$reason\n".toByteArray())
+            return RouterResponse(status, requestId, reason, headers, "$reason\n".toByteArray())
         }
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerConnection.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerConnection.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.net
 
-import dev.almondhaven.gateway.call.OwnAnswer
+import dev.almondhaven.gateway.call.RouterResponse
 import dev.almondhaven.traffic.CallerLimits
 import io.netty.buffer.ByteBuf
 import io.netty.buffer.Unpooled
@@ -42,7 +42,7 @@
     private var headReadAt = 0L
     private var body = ByteArrayOutputStream()
     private val waiting = ArrayDeque<CallerRequest>()
-    private var inWork: RequestInWork? = null
+    private var inWork: InFlightRequest? = null
     private var port: Port? = null
     private var timer: ScheduledFuture<*>? = null
     private var refusing = false
@@ -190,7 +190,7 @@
     }
 
     override fun channelWritabilityChanged(context: ChannelHandlerContext) {
-        if (context.channel().isWritable) inWork?.callerReady()
+        if (context.channel().isWritable) inWork?.onCallerWritable()
     }
 
     override fun channelInactive(context: ChannelHandlerContext) {
@@ -198,7 +198,7 @@
         val left = inWork
         inWork = null
         port = null
-        left?.callerLeft()
+        left?.onCallerDisconnected()
         onEnd(this)
     }
 
@@ -213,10 +213,10 @@
     private inner class Port(
         private val keptByCaller: Boolean,
         private val headOnly: Boolean,
-    ) : CallerPort {
+    ) : ResponseWriter {
         private var keepAlive = true
 
-        override fun answer(own: OwnAnswer) = answer(own.status, own.headers, own.body)
+        override fun answer(own: RouterResponse) = answer(own.status, own.headers, own.body)
 
         override fun answer(
             status: Int,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerServer.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerServer.kt
@@ -27,7 +27,7 @@
         val bootstrap = ServerBootstrap().group(group).channel(NioServerSocketChannel::class.java)
         bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG)
         bootstrap.option(ChannelOption.SO_REUSEADDR, true)
-        Sockets.KEEP_ALIVE.forEach { (option, value) -> bootstrap.set(option, value) }
+        SocketOptions.KEEP_ALIVE.forEach { (option, value) -> bootstrap.set(option, value) }
         bootstrap.childHandler(
             object : ChannelInitializer<Channel>() {
                 override fun initChannel(channel: Channel) = accept(channel)
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/ConnectionPool.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/ConnectionPool.kt
@@ -67,7 +67,7 @@
         lateinit var connection: OutboundConnection
         val bootstrap = Bootstrap().group(loop).channel(NioSocketChannel::class.java)
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_PATIENCE.inWholeMilliseconds.toInt())
-        Sockets.KEEP_ALIVE.forEach { (option, value) -> bootstrap.set(option, value) }
+        SocketOptions.KEEP_ALIVE.forEach { (option, value) -> bootstrap.set(option, value) }
         bootstrap.handler(
             object : ChannelInitializer<Channel>() {
                 override fun initChannel(channel: Channel) {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/HeadVerdict.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/HeadAction.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.net
 
 /** What a connection does with an answer after its head. */
-internal enum class HeadVerdict {
+internal enum class HeadAction {
     /** Pass its content on. */
     TAKE,
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/RequestInWork.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/InFlightRequest.kt
@@ -1,10 +1,10 @@
 package dev.almondhaven.gateway.net
 
 /** A request that is being served. */
-internal interface RequestInWork {
+internal interface InFlightRequest {
     /** The caller is gone: all work for it ends. */
-    fun callerLeft()
+    fun onCallerDisconnected()
 
     /** The caller can take more of its answer again. */
-    fun callerReady()
+    fun onCallerWritable()
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundConnection.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundConnection.kt
@@ -102,8 +102,8 @@
         }
         if (!HttpUtil.isKeepAlive(response) || isUnframed(response)) reusable = false
         noteIdleLife(response)
-        val verdict = listener?.head(status, response.headers()) ?: HeadVerdict.SKIP
-        skipping = verdict == HeadVerdict.SKIP
+        val verdict = listener?.head(status, response.headers()) ?: HeadAction.SKIP
+        skipping = verdict == HeadAction.SKIP
         if (skipping) reusable = false
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundListener.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundListener.kt
@@ -8,7 +8,7 @@
     fun head(
         status: Int,
         headers: HttpHeaders,
-    ): HeadVerdict
+    ): HeadAction
 
     /** [bytes] are valid during the call only. */
     fun content(bytes: ByteBuf)
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerPort.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/ResponseWriter.kt
@@ -1,9 +1,9 @@
 package dev.almondhaven.gateway.net
 
-import dev.almondhaven.gateway.call.OwnAnswer
+import dev.almondhaven.gateway.call.RouterResponse
 
 /** The way back to one caller, for one request. */
-internal interface CallerPort {
+internal interface ResponseWriter {
     /** Sends a whole answer. */
     fun answer(
         status: Int,
@@ -12,7 +12,7 @@
     )
 
     /** Sends an answer of the router's own. */
-    fun answer(own: OwnAnswer)
+    fun answer(own: RouterResponse)
 
     /** Sends the head of an answer whose length is not known yet. */
     fun begin(
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/Sockets.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/SocketOptions.kt
@@ -5,7 +5,7 @@
 import jdk.net.ExtendedSocketOptions
 
 /** Socket options that all connections share. */
-internal object Sockets {
+internal object SocketOptions {
     /**
      * A connection whose other end has lost track of it is found within about three seconds: the probes start after one
      * second of silence, follow each second, and two unanswered ones end the connection.
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerLink.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessenger.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.peer
 
-import dev.almondhaven.gateway.state.Directory
+import dev.almondhaven.gateway.state.RoutingState
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
@@ -27,20 +27,20 @@
  * tells which sessions still run on the old version, since the requests of a session reach different routers. Datagrams may
  * be lost; what they say only ever shifts a choice between endpoints. Lives on the event loop, but for [listen].
  */
-internal class PeerLink(
+internal class PeerMessenger(
     private val group: EventLoopGroup,
     private val address: String,
     private val loop: EventLoop,
     private val clock: NanoClock,
-    private val directory: Directory,
+    private val routing: RoutingState,
 ) {
     private var channel: Channel? = null
     private var peers: List<InetSocketAddress> = emptyList()
-    private val readings = ArrayList<ReadingNote>()
-    private val sessions = ArrayList<SessionNote>()
+    private val readings = ArrayList<PrefillAnnouncement>()
+    private val sessions = ArrayList<SessionAnnouncement>()
 
     /** Hears what other routers say of sessions. */
-    var onSession: (SessionNote) -> Unit = {}
+    var onSession: (SessionAnnouncement) -> Unit = {}
 
     /** Opens the port. */
     fun listen() {
@@ -62,7 +62,7 @@
         endpoint: EndpointId,
         millis: Double,
     ) {
-        if (isLong(millis)) send(ReadingNote(key, endpoint.value, millis.toInt()))
+        if (isLong(millis)) send(PrefillAnnouncement(key, endpoint.value, millis.toInt()))
     }
 
     /** Revokes what [readingBegins] announced. */
@@ -71,21 +71,21 @@
         endpoint: EndpointId,
         millis: Double,
     ) {
-        if (isLong(millis)) send(ReadingNote(key, endpoint.value, 0))
+        if (isLong(millis)) send(PrefillAnnouncement(key, endpoint.value, 0))
     }
 
     /** A larger fleet announces only longer prompts, so that what one router receives stays bounded. */
     private fun isLong(millis: Double): Boolean =
-        millis >= SHORTEST_MILLIS * maxOf(1, directory.routers / ROUTERS_AT_SHORTEST)
+        millis >= SHORTEST_MILLIS * maxOf(1, routing.routers / ROUTERS_AT_SHORTEST)
 
     /** Announces which version a session runs on, or ran on until now. */
-    fun sessionRuns(note: SessionNote) {
+    fun sessionRuns(note: SessionAnnouncement) {
         if (peers.isEmpty()) return
         scheduleFlush()
         sessions += note
     }
 
-    private fun send(note: ReadingNote) {
+    private fun send(note: PrefillAnnouncement) {
         if (peers.isEmpty()) return
         scheduleFlush()
         readings += note
@@ -122,8 +122,8 @@
         message.sessions.forEach(onSession)
     }
 
-    private fun heard(note: ReadingNote) {
-        val reading = directory.endpoint(EndpointId(note.endpoint))?.belief?.remoteReading ?: return
+    private fun heard(note: PrefillAnnouncement) {
+        val reading = routing.endpoint(EndpointId(note.endpoint))?.state?.remoteReading ?: return
         if (note.millis > 0) {
             reading.began(note.key, note.millis.toDouble(), clock.nanos())
         } else {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/ReadingNote.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PrefillAnnouncement.kt
@@ -10,7 +10,7 @@
  * @property millis expected time of reading; 0 when it has ended.
  */
 @Serializable
-internal data class ReadingNote(
+internal data class PrefillAnnouncement(
     @SerialName("k") val key: String,
     @SerialName("e") val endpoint: String,
     @SerialName("m") val millis: Int,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/SessionNote.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/SessionAnnouncement.kt
@@ -9,7 +9,7 @@
  * @property running whether the run goes on; otherwise it has just ended.
  */
 @Serializable
-internal data class SessionNote(
+internal data class SessionAnnouncement(
     @SerialName("s") val service: String,
     @SerialName("i") val session: String,
     @SerialName("v") val version: String,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ConfigurationProof.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ConfigurationWatcher.kt
@@ -22,9 +22,9 @@
  * which its call was sent. A call that isn't answered in time is followed by reads. Requests with keys are served only
  * while the last proof is recent enough. Lives on the event loop.
  */
-internal class ConfigurationProof(
+internal class ConfigurationWatcher(
     bounds: TrafficBounds,
-    private val store: Store,
+    private val store: StoreClient,
     private val loop: EventLoop,
     private val clock: NanoClock,
     private val onConfiguration: (StoredObject) -> Unit,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/KnownEndpoint.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/EndpointHandle.kt
@@ -4,8 +4,8 @@
 import dev.almondhaven.gateway.net.ConnectionPool
 
 /** A listed endpoint, with the connections to it. */
-internal class KnownEndpoint(
-    val belief: EndpointBelief,
+internal class EndpointHandle(
+    val state: EndpointBelief,
     val pool: ConnectionPool,
 ) {
     /** Monotonic time until which an entry that lapsed may come back; null while it is listed. */
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/StoreLink.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/HttpStoreClient.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.state
 
 import dev.almondhaven.gateway.net.ConnectionPool
-import dev.almondhaven.gateway.net.HeadVerdict
+import dev.almondhaven.gateway.net.HeadAction
 import dev.almondhaven.gateway.net.OutboundCall
 import dev.almondhaven.gateway.net.OutboundListener
 import dev.almondhaven.gateway.net.OutboundRequest
@@ -19,27 +19,27 @@
 private val logger = KotlinLogging.logger {}
 
 /** Calls to the platform's store. Lives on the event loop. */
-internal class StoreLink(
+internal class HttpStoreClient(
     private val loop: EventLoop,
     address: String,
     private val clock: NanoClock,
-) : Store {
+) : StoreClient {
     private val pool = ConnectionPool(loop, address)
     private var failing = false
 
     private val regainedActions = ArrayList<() -> Unit>()
 
-    override var returnedAt: Long? = null
+    override var recoveredAt: Long? = null
         private set
 
-    override fun whenRegained(action: () -> Unit) {
+    override fun onRecovery(action: () -> Unit) {
         regainedActions += action
     }
 
     override fun call(
         call: StoreCall,
         patience: Duration,
-        onAnswer: (StoreAnswer?) -> Unit,
+        onAnswer: (StoreResponse?) -> Unit,
     ): () -> Unit {
         val body = call.body?.toByteArray() ?: ByteArray(0)
         val headers = if (call.body == null) emptyList() else listOf("Content-Type" to "application/json")
@@ -54,7 +54,7 @@
     private fun note(reached: Boolean): Boolean {
         if (reached == !failing) return false
         failing = !reached
-        if (reached) returnedAt = clock.nanos()
+        if (reached) recoveredAt = clock.nanos()
         val event = if (reached) LogEvent.STORE_REGAINED else LogEvent.STORE_LOST
         event.log(logger)
         return reached
@@ -62,7 +62,7 @@
 
     private inner class Waiting(
         private val call: StoreCall,
-        private val onAnswer: (StoreAnswer?) -> Unit,
+        private val onAnswer: (StoreResponse?) -> Unit,
     ) : OutboundListener {
         var outbound: OutboundCall? = null
         var timer: java.util.concurrent.Future<*>? = null
@@ -74,9 +74,9 @@
         override fun head(
             status: Int,
             headers: HttpHeaders,
-        ): HeadVerdict {
+        ): HeadAction {
             this.status = status
-            return HeadVerdict.TAKE
+            return HeadAction.TAKE
         }
 
         override fun content(bytes: ByteBuf) {
@@ -91,7 +91,7 @@
                 settle(null)
             } else {
                 val regained = note(reached = true)
-                settle(StoreAnswer(status, body.toString(Charsets.UTF_8)))
+                settle(StoreResponse(status, body.toString(Charsets.UTF_8)))
                 if (regained) regainedActions.forEach { it() }
             }
         }
@@ -118,7 +118,7 @@
             outbound?.cancel()
         }
 
-        private fun settle(answer: StoreAnswer?) {
+        private fun settle(answer: StoreResponse?) {
             if (settled) return
             settled = true
             timer?.cancel(false)
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/KindWatch.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/KindWatcher.kt
@@ -24,9 +24,9 @@
  * @property onList called with a whole list.
  * @property onChanges called with changes since then.
  */
-internal class KindWatch(
+internal class KindWatcher(
     private val kind: StoreKind,
-    private val store: Store,
+    private val store: StoreClient,
     private val loop: EventLoop,
     private val random: UniformRandomProvider,
     private val grouping: Duration,
@@ -41,7 +41,7 @@
     private var giveUpWatch: (() -> Unit)? = null
 
     fun start() {
-        store.whenRegained(::watchAnew)
+        store.onRecovery(::watchAnew)
         list(after = null, found = emptyList())
     }
 
@@ -82,7 +82,7 @@
 
     private fun watched(
         revision: Long,
-        answer: StoreAnswer?,
+        answer: StoreResponse?,
     ) {
         if (answer?.status == StoreCall.HISTORY_GONE) {
             LogEvent.STORE_HISTORY_GONE.log(logger) { "kind=$kind revision=$revision" }
@@ -97,7 +97,7 @@
     }
 
     private fun retry(
-        answer: StoreAnswer?,
+        answer: StoreResponse?,
         action: () -> Unit,
     ) {
         failures++
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOuts.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOutController.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.decision.traffic.RollOutPlan
 import dev.almondhaven.decision.traffic.SessionVersions
 import dev.almondhaven.decision.traffic.VersionChoice
-import dev.almondhaven.gateway.peer.SessionNote
+import dev.almondhaven.gateway.peer.SessionAnnouncement
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.ServiceId
@@ -27,13 +27,13 @@
  * one of them decides stands in the store's entry, written on condition that nobody has decided before, and binds all.
  * Lives on the event loop.
  */
-internal class RollOuts(
+internal class RollOutController(
     private val bounds: TrafficBounds,
-    private val store: Store,
+    private val store: StoreClient,
     private val loop: EventLoop,
     private val clock: NanoClock,
     private val random: UniformRandomProvider,
-    private val announce: (SessionNote) -> Unit,
+    private val announce: (SessionAnnouncement) -> Unit,
 ) {
     private class Move(
         var order: RollOutOrder,
@@ -144,7 +144,7 @@
     }
 
     /** Takes what another router says of a session. */
-    fun heard(note: SessionNote): Unit =
+    fun heard(note: SessionAnnouncement): Unit =
         sessionsOf(ServiceId(note.service)).heard(note.session, note.version, note.running, clock.nanos())
 
     /** Tells the other routers which sessions must not try the new version yet: their requests may reach any router. */
@@ -160,7 +160,7 @@
         val settled = move.order.state == RollOutState.DONE || move.order.state == RollOutState.ROLLED_BACK
         if (settled || move.plan.mayMove(elapsed) || session.version == move.order.target) return
         if (part(session.id) < move.plan.share(elapsed)) {
-            announce(SessionNote(service.value, session.id, session.version, session.running))
+            announce(SessionAnnouncement(service.value, session.id, session.version, session.running))
         }
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/Directory.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RoutingState.kt
@@ -20,7 +20,7 @@
 private val logger = KotlinLogging.logger {}
 
 /** What this router knows of the deployment: configuration, endpoints, orders. Lives on the event loop. */
-internal class Directory(
+internal class RoutingState(
     private val bounds: TrafficBounds,
     private val loop: EventLoop,
     private val clock: NanoClock,
@@ -51,10 +51,10 @@
     }
 
     /** The endpoint [id], or null if it is not listed. */
-    fun endpoint(id: EndpointId): KnownEndpoint? = services.values.firstNotNullOfOrNull { it.endpoints[id] }
+    fun endpoint(id: EndpointId): EndpointHandle? = services.values.firstNotNullOfOrNull { it.endpoints[id] }
 
     /** Endpoints of [service] that are listed, those included that may come back. */
-    fun endpointsOf(service: ServiceId): Collection<KnownEndpoint> = services[service]?.endpoints?.values.orEmpty()
+    fun endpointsOf(service: ServiceId): Collection<EndpointHandle> = services[service]?.endpoints?.values.orEmpty()
 
     fun budgetOf(service: ServiceId): RepeatWindow = of(service).budget
 
@@ -82,10 +82,10 @@
         services.values.forEach { if (it.service != listing.service) it.endpoints.remove(listing.id)?.let(::discard) }
         val endpoints = of(listing.service).endpoints
         val held = endpoints[listing.id]
-        if (held != null && held.belief.listing.address == listing.address) {
+        if (held != null && held.state.listing.address == listing.address) {
             held.missingUntil = null
-            logChange(held.belief.listing, listing)
-            held.belief.update(listing, clock.nanos())
+            logChange(held.state.listing, listing)
+            held.state.update(listing, clock.nanos())
             return
         }
         held?.let(::discard)
@@ -107,8 +107,8 @@
         "address=${listing.address} domain=${listing.failureDomain} version=${listing.version} " +
             "leaving=${listing.leaving} coldLeft=${listing.coldLeft}"
 
-    private fun known(listing: EndpointListing): KnownEndpoint {
-        lateinit var endpoint: KnownEndpoint
+    private fun known(listing: EndpointListing): EndpointHandle {
+        lateinit var endpoint: EndpointHandle
         val pool = ConnectionPool(loop, listing.address) { endpoint.heardAt = clock.nanos() }
         val memory =
             configuration
@@ -117,16 +117,16 @@
                 ?.engine
                 ?.memoryTokens ?: UNKNOWN_MEMORY_TOKENS
         endpoint =
-            KnownEndpoint(
+            EndpointHandle(
                 EndpointBelief(listing, of(listing.service).group, memory, of(listing.service).speed, clock.nanos()),
                 pool,
             )
         return endpoint
     }
 
-    private fun discard(endpoint: KnownEndpoint) {
+    private fun discard(endpoint: EndpointHandle) {
         endpoint.pool.close()
-        endpoint.belief.health.retire()
+        endpoint.state.health.retire()
     }
 
     /** Takes an endpoint off the list at [goneAt], or now if that has passed; being listed again prevents it. */
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ServiceEndpoints.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ServiceEndpoints.kt
@@ -17,7 +17,7 @@
     /** Nearly all endpoints may be unreachable: a failure domain that is cut off has only its own. */
     val group = EjectionGroup(MOST_EJECTED)
     val speed = EngineSpeed()
-    val endpoints = LinkedHashMap<EndpointId, KnownEndpoint>()
+    val endpoints = LinkedHashMap<EndpointId, EndpointHandle>()
 
     private companion object {
         const val MOST_EJECTED = 0.9
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/Store.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/StoreClient.kt
@@ -4,9 +4,9 @@
 import kotlin.time.Duration
 
 /** The platform's store, as far as this router reaches it. */
-internal interface Store {
+internal interface StoreClient {
     /** Monotonic time at which the store last came back after it had failed; null if it never failed. */
-    val returnedAt: Long?
+    val recoveredAt: Long?
 
     /**
      * Calls [onAnswer] once: with the answer, or with null if none came within [patience]. The returned action gives the
@@ -15,9 +15,9 @@
     fun call(
         call: StoreCall,
         patience: Duration,
-        onAnswer: (StoreAnswer?) -> Unit,
+        onAnswer: (StoreResponse?) -> Unit,
     ): () -> Unit
 
     /** Runs [action] each time the store serves this router again. */
-    fun whenRegained(action: () -> Unit)
+    fun onRecovery(action: () -> Unit)
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/StoreAnswer.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/StoreResponse.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.state
 
 /** An answer of the platform's store that neither failed nor turned the call away. */
-internal class StoreAnswer(
+internal class StoreResponse(
     val status: Int,
     val body: String,
 )
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayScene.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayFixture.kt
@@ -2,8 +2,8 @@
 
 import dev.almondhaven.gateway.net.CallerRequest
 import dev.almondhaven.gateway.net.CallerServer
+import dev.almondhaven.gateway.net.InFlightRequest
 import dev.almondhaven.gateway.net.RequestHandler
-import dev.almondhaven.gateway.net.RequestInWork
 import dev.almondhaven.model.FailureDomainId
 import dev.almondhaven.platform.WireSamples
 import dev.almondhaven.traffic.CallerLimits
@@ -22,7 +22,7 @@
  *
  * @param repeats whether requests may be repeated at all.
  */
-internal class GatewayScene(
+internal class GatewayFixture(
     private val endpoints: List<ScriptedEndpoint>,
     repeats: Boolean = true,
 ) : AutoCloseable {
@@ -57,10 +57,10 @@
         RequestHandler { request: CallerRequest, port ->
             val body = WireSamples.storeBody(request.path, endpoints.map { it.address })
             port.answer(OK, listOf("Content-Type" to "application/json"), body.toByteArray())
-            object : RequestInWork {
-                override fun callerLeft() = Unit
+            object : InFlightRequest {
+                override fun onCallerDisconnected() = Unit
 
-                override fun callerReady() = Unit
+                override fun onCallerWritable() = Unit
             }
         }
 
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayPathTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayPathTest.kt
@@ -13,7 +13,7 @@
 
 /** Requests through a whole gateway to endpoints that answer as scripted. */
 class GatewayPathTest {
-    private var scene: GatewayScene? = null
+    private var scene: GatewayFixture? = null
 
     @AfterEach
     fun end() {
@@ -23,7 +23,7 @@
     private fun scene(
         vararg scripts: (ScriptedEndpoint.Served) -> Unit,
         repeats: Boolean = true,
-    ): Pair<GatewayScene, List<ScriptedEndpoint>> {
+    ): Pair<GatewayFixture, List<ScriptedEndpoint>> {
         val endpoints =
             scripts.map { script ->
                 ScriptedEndpoint {
@@ -36,7 +36,7 @@
                     }
                 }
             }
-        return GatewayScene(endpoints, repeats).also { scene = it } to endpoints
+        return GatewayFixture(endpoints, repeats).also { scene = it } to endpoints
     }
 
     private val whole = "${WireSamples.WHOLE_PATH}a"
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/call/StartingRequestTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/call/DeferredRequestTest.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.call
 
-import dev.almondhaven.gateway.net.RequestInWork
+import dev.almondhaven.gateway.net.InFlightRequest
 import io.netty.channel.embedded.EmbeddedChannel
 import org.junit.jupiter.api.Nested
 import org.junit.jupiter.api.Test
@@ -8,21 +8,21 @@
 import strikt.assertions.isEqualTo
 import java.util.concurrent.TimeUnit
 
-class StartingRequestTest {
+class DeferredRequestTest {
     private val channel = EmbeddedChannel()
     private val events = ArrayList<String>()
     private var known = false
     private var now = 0L
 
     private fun starting() =
-        StartingRequest(channel.eventLoop(), { known }) {
+        DeferredRequest(channel.eventLoop(), { known }) {
             events += "served at $now"
-            object : RequestInWork {
-                override fun callerLeft() {
+            object : InFlightRequest {
+                override fun onCallerDisconnected() {
                     events += "left at $now"
                 }
 
-                override fun callerReady() = Unit
+                override fun onCallerWritable() = Unit
             }
         }
 
@@ -56,11 +56,11 @@
 
         @Test
         fun `is forgotten when its caller leaves, or ends the work that it has become`() {
-            starting().callerLeft()
+            starting().onCallerDisconnected()
             val other = starting()
             known = true
             pass(50)
-            other.callerLeft()
+            other.onCallerDisconnected()
 
             expectThat(events.toList()).isEqualTo(listOf("served at 10", "left at 50"))
         }
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/state/ConfigurationProofTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/state/ConfigurationWatcherTest.kt
@@ -11,13 +11,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class ConfigurationProofTest {
+class ConfigurationWatcherTest {
     private val channel = EmbeddedChannel()
-    private val store = ScriptedStore()
+    private val store = ScriptedStoreClient()
     private val seen = ArrayList<Long>()
     private var millis = 0L
     private val proof =
-        ConfigurationProof(
+        ConfigurationWatcher(
             TrafficBounds(8.seconds, 2.seconds, revocation = 5.seconds, 0.9, 50.0, 10.seconds, 5.seconds),
             store,
             channel.eventLoop(),
@@ -45,7 +45,7 @@
     private fun answer(
         body: String?,
         status: Int = 200,
-    ): Unit = store.calls.last().onAnswer(body?.let { StoreAnswer(status, it) })
+    ): Unit = store.calls.last().onAnswer(body?.let { StoreResponse(status, it) })
 
     private fun listed() {
         proof.start()
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/state/KindWatchTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/state/KindWatcherTest.kt
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration.Companion.milliseconds
 
-class KindWatchTest {
+class KindWatcherTest {
     private val channel = EmbeddedChannel()
-    private val store = ScriptedStore()
+    private val store = ScriptedStoreClient()
     private val seen = ArrayList<String>()
     private val random = RandomSource.SPLIT_MIX_64.create(1L)
     private val watch =
-        KindWatch(StoreKind.EVACUATIONS, store, channel.eventLoop(), random, 150.milliseconds, ::listed, ::changed)
+        KindWatcher(StoreKind.EVACUATIONS, store, channel.eventLoop(), random, 150.milliseconds, ::listed, ::changed)
 
     private fun listed(entries: List<StoredObject>) {
         seen += entries.map { "list ${it.name}" }
@@ -35,7 +35,7 @@
         call: Int,
         body: String,
         status: Int = 200,
-    ): Unit = store.calls[call].onAnswer(StoreAnswer(status, body))
+    ): Unit = store.calls[call].onAnswer(StoreResponse(status, body))
 
     private fun pass(milliseconds: Long) {
         channel.advanceTimeBy(milliseconds, TimeUnit.MILLISECONDS)
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/state/RollOutsTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/state/RollOutControllerTest.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.state
 
 import dev.almondhaven.decision.traffic.VersionChoice
-import dev.almondhaven.gateway.peer.SessionNote
+import dev.almondhaven.gateway.peer.SessionAnnouncement
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.ServiceId
 import dev.almondhaven.traffic.RollOutOrder
@@ -16,13 +16,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class RollOutsTest {
+class RollOutControllerTest {
     private var now = 0L
-    private val announced = ArrayList<SessionNote>()
+    private val announced = ArrayList<SessionAnnouncement>()
     private val rollOuts =
-        RollOuts(
+        RollOutController(
             TrafficBounds(8.seconds, 2.seconds, 5.seconds, 0.9, 50.0, 10.seconds, sessionGap = 5.seconds),
-            ScriptedStore(),
+            ScriptedStoreClient(),
             EmbeddedChannel().eventLoop(),
             NanoClock { now },
             RandomSource.SPLIT_MIX_64.create(1L),
@@ -106,7 +106,7 @@
         fun `tells the others, which keep the session there`() {
             order()
             val session = trialSession()
-            rollOuts.heard(SessionNote("engines", session, "v1", running = false))
+            rollOuts.heard(SessionAnnouncement("engines", session, "v1", running = false))
 
             expectThat(listOf(4_900L, 5_000L).map { versionFor(session, it) }).isEqualTo(listOf(old, new))
         }
@@ -123,7 +123,7 @@
             run(session, "v2", from = 6_000, to = 6_100)
 
             expectThat(announced.toList()).isEqualTo(
-                listOf(false, true, false).map { SessionNote("engines", session, "v1", running = it) },
+                listOf(false, true, false).map { SessionAnnouncement("engines", session, "v1", running = it) },
             )
         }
     }
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/state/ScriptedStore.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/state/ScriptedStoreClient.kt
@@ -3,31 +3,31 @@
 import dev.almondhaven.platform.StoreCall
 import kotlin.time.Duration
 
-/** A call that a [ScriptedStore] has got; the test answers it. */
-internal class WaitingCall(
+/** A call that a [ScriptedStoreClient] has got; the test answers it. */
+internal class PendingCall(
     val path: String,
     val patience: Duration,
-    val onAnswer: (StoreAnswer?) -> Unit,
+    val onAnswer: (StoreResponse?) -> Unit,
 ) {
     var givenUp = false
 }
 
 /** A store that answers when the test says so. */
-internal class ScriptedStore : Store {
-    val calls = ArrayList<WaitingCall>()
+internal class ScriptedStoreClient : StoreClient {
+    val calls = ArrayList<PendingCall>()
     private val actions = ArrayList<() -> Unit>()
-    override val returnedAt: Long? = null
+    override val recoveredAt: Long? = null
 
     override fun call(
         call: StoreCall,
         patience: Duration,
-        onAnswer: (StoreAnswer?) -> Unit,
+        onAnswer: (StoreResponse?) -> Unit,
     ): () -> Unit {
-        val waiting = WaitingCall(call.path, patience, onAnswer).also { calls += it }
+        val waiting = PendingCall(call.path, patience, onAnswer).also { calls += it }
         return { waiting.givenUp = true }
     }
 
-    override fun whenRegained(action: () -> Unit) {
+    override fun onRecovery(action: () -> Unit) {
         actions += action
     }
 
