--- a/router/src/main/kotlin/dev/almondhaven/router/CallerService.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/CallerService.kt
@@ -13,7 +13,7 @@
 import dev.almondhaven.model.Refusal
 import dev.almondhaven.model.RequestId
 import dev.almondhaven.model.ResultCode
-import dev.almondhaven.router.billing.BillingTap
+import dev.almondhaven.router.billing.BillingRecorder
 import dev.almondhaven.router.filter.Answer
 import dev.almondhaven.router.filter.Exchange
 import dev.almondhaven.router.filter.RequestHandler
@@ -30,7 +30,7 @@
 internal class CallerService(
     private val handler: RequestHandler,
     private val metrics: RouterMetrics,
-    private val billing: BillingTap,
+    private val billing: BillingRecorder,
     private val requestTimeout: Duration,
     private val clock: NanoClock,
 ) : HttpService {
--- a/router/src/main/kotlin/dev/almondhaven/router/ModelChoice.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/ModelSelectionModule.kt
@@ -25,7 +25,7 @@
 import java.time.InstantSource
 
 /** The parts of the router that choose models and versions, put together. */
-internal class ModelChoice(
+internal class ModelSelectionModule(
     private val holder: CatalogueHolder,
     self: RouterId,
     private val settings: ChoiceSettings,
--- a/router/src/main/kotlin/dev/almondhaven/router/Router.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/Router.kt
@@ -12,10 +12,10 @@
 import dev.almondhaven.decision.rollout.RollOutReport
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
-import dev.almondhaven.router.billing.Billing
-import dev.almondhaven.router.billing.BillingTap
-import dev.almondhaven.router.claim.Claims
-import dev.almondhaven.router.claim.RepeatOutcomeFilter
+import dev.almondhaven.router.billing.BillingController
+import dev.almondhaven.router.billing.BillingRecorder
+import dev.almondhaven.router.claim.ClaimModule
+import dev.almondhaven.router.claim.IdempotencyOutcomeFilter
 import dev.almondhaven.router.controller.CatalogueHolder
 import dev.almondhaven.router.controller.ConfigurationWatcher
 import dev.almondhaven.router.controller.guardedObjects
@@ -39,7 +39,7 @@
 import dev.almondhaven.router.peer.PeerController
 import dev.almondhaven.router.peer.PeerNetwork
 import dev.almondhaven.router.peer.StatusReporter
-import dev.almondhaven.router.session.Sessions
+import dev.almondhaven.router.session.SessionModule
 import dev.almondhaven.router.settings.PeerSettings
 import dev.almondhaven.router.settings.RouterSettings
 import dev.almondhaven.router.settings.socketAddress
@@ -75,7 +75,7 @@
     private val clients = EndpointClients(workers, settings.endpoints.connectTimeout, settings.endpoints.pingInterval)
     private val peers = PeerNetwork.open(settings.peers, settings.process.failureDomain)
     private val objects = guardedObjects(platform, settings.platform, clock, metrics) { peers.view.members.size }
-    private val sessions = Sessions(settings.sessions, peers)
+    private val sessions = SessionModule(settings.sessions, peers)
     private val directory = EndpointDirectory(holder, peers.view, clock)
     private val waitingRoom = WaitingRoom(clock)
     private val limiter = UsageLimiter(holder, peers.view, clock)
@@ -84,10 +84,10 @@
     private val watcher =
         ConfigurationWatcher(objects, holder, freshness, peers.view, settings.platform.watchWait, newRandom())
     private val status = StatusReporter(peers, holder, freshness, clock, Lifecycle())
-    private val billing = Billing(settings.billing, objects, clock, peers, metrics)
-    private val claims = Claims(settings.claims, objects, clock, peers)
+    private val billing = BillingController(settings.billing, objects, clock, peers, metrics)
+    private val claims = ClaimModule(settings.claims, objects, clock, peers)
     private val choice =
-        ModelChoice(holder, peers.self.id, settings.choice, clock, routers = { peers.view.members.size })
+        ModelSelectionModule(holder, peers.self.id, settings.choice, clock, routers = { peers.view.members.size })
     private val engineOrders = EngineOrderController(settings.engineOrders, holder, peers.view, objects, clock)
     private val server = buildServer()
 
@@ -123,19 +123,28 @@
     }
 
     private fun addGauges() {
-        metrics.gauge("almondhaven_configuration_generation", "Generation in force on this router.") {
+        metrics.registerGauge("almondhaven_configuration_generation", "Generation in force on this router.") {
             holder.generation.value.toDouble()
         }
-        metrics.gauge("almondhaven_configuration_stale_seconds", "Time unconfirmed by the platform; 0 when fresh.") {
+        metrics.registerGauge(
+            "almondhaven_configuration_stale_seconds",
+            "Time unconfirmed by the platform; 0 when fresh.",
+        ) {
             status.staleSince()?.let { (System.currentTimeMillis() - it) / MILLIS_PER_SECOND } ?: 0.0
         }
-        metrics.gauge("almondhaven_platform_reachable", "1 if the platform answered the last configuration call.") {
+        metrics.registerGauge(
+            "almondhaven_platform_reachable",
+            "1 if the platform answered the last configuration call.",
+        ) {
             if (watcher.platformReachable) 1.0 else 0.0
         }
-        metrics.gauge("almondhaven_sessions_remembered", "Sessions known by their id that this router remembers.") {
+        metrics.registerGauge(
+            "almondhaven_sessions_remembered",
+            "Sessions known by their id that this router remembers.",
+        ) {
             sessions.remembered.toDouble()
         }
-        metrics.gauge("almondhaven_peer_members", "Routers in this router's view, itself included.") {
+        metrics.registerGauge("almondhaven_peer_members", "Routers in this router's view, itself included.") {
             peers.view.members.size
                 .toDouble()
         }
@@ -145,7 +154,7 @@
         filterChain(
             listOf(
                 ConfigurationAgeFilter({ holder.generation }, status::staleSince),
-                RepeatOutcomeFilter,
+                IdempotencyOutcomeFilter,
                 DomainServiceFilter(holder, settings.process.failureDomain),
                 IdentifyFilter(holder),
                 ParseFilter(holder),
@@ -184,7 +193,7 @@
                 CallerService(
                     chain(),
                     metrics,
-                    BillingTap(holder, billing::offer),
+                    BillingRecorder(holder, billing::offer),
                     settings.requests.requestTimeout,
                     clock,
                 ),
@@ -194,7 +203,7 @@
         holder.configured && !draining && holder.index.inService(settings.process.failureDomain)
 
     private fun metricsResponse(): HttpResponse =
-        HttpResponse.of(HttpStatus.OK, MediaType.PLAIN_TEXT_UTF_8, metrics.text())
+        HttpResponse.of(HttpStatus.OK, MediaType.PLAIN_TEXT_UTF_8, metrics.toPrometheusText())
 
     /** Fails readiness, gives the balancer time to take the router out, and then closes as [close] does. */
     public fun drain() {
--- a/router/src/main/kotlin/dev/almondhaven/router/RouterMetrics.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/RouterMetrics.kt
@@ -40,7 +40,7 @@
     }
 
     /** Registers a gauge that is read whenever the metrics are. */
-    public fun gauge(
+    public fun registerGauge(
         name: String,
         help: String,
         read: () -> Double,
@@ -54,7 +54,7 @@
     }
 
     /** All metrics in the Prometheus text format. */
-    public fun text(): String {
+    public fun toPrometheusText(): String {
         val output = ByteArrayOutputStream()
         PrometheusTextFormatWriter.create().write(output, registry.scrape())
         return output.toString(Charsets.UTF_8)
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/Billing.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingController.kt
@@ -34,7 +34,7 @@
  * and stored by the one router that writes for the failure domain; whatever is stored twice is billed once, since a
  * batch never changes.
  */
-internal class Billing(
+internal class BillingController(
     settings: BillingSettings,
     objects: ObjectStore,
     private val clock: NanoClock,
@@ -58,13 +58,19 @@
         network.handlers.register(STORE_PATH, ::answerStore)
         network.handlers.register(STORED_PATH, ::answerStored)
         network.handlers.register(HAND_OVER_PATH, ::answerHandOver)
-        metrics.gauge("almondhaven_billing_records_held", "Billing records that the platform doesn't hold yet.") {
+        metrics.registerGauge(
+            "almondhaven_billing_records_held",
+            "Billing records that the platform doesn't hold yet.",
+        ) {
             outbox.held.toDouble()
         }
-        metrics.gauge("almondhaven_billing_copies_held", "Copies of other routers' billing records.") {
+        metrics.registerGauge("almondhaven_billing_copies_held", "Copies of other routers' billing records.") {
             copies.records.toDouble()
         }
-        metrics.gauge("almondhaven_billing_records_overflowed", "Billing records that were lost for want of room.") {
+        metrics.registerGauge(
+            "almondhaven_billing_records_overflowed",
+            "Billing records that were lost for want of room.",
+        ) {
             (outbox.overflowed + duty.rejected).toDouble()
         }
     }
@@ -101,7 +107,7 @@
         outbox.makeAllDue(clock.nanos())
     }
 
-    private fun holdCopies(message: HoldCopies) {
+    private fun holdCopies(message: HoldCopiesRequest) {
         copies.release(message.released)
         message.batches.forEach { copies.hold(it) }
     }
@@ -134,7 +140,7 @@
         }
         val parts =
             batches.chunked(BATCHES_AT_ONCE).map { part ->
-                post(peer, HAND_OVER_PATH, HandedOverBatches(part), HandedOverBatches.serializer())
+                post(peer, HAND_OVER_PATH, HandOverRequest(part), HandOverRequest.serializer())
             }
         CompletableFuture.allOf(*parts.toTypedArray()).whenComplete { _, error ->
             message.done.complete(error == null && parts.all { accepted(it.join()) })
@@ -151,9 +157,9 @@
         val peer = peerForCopies() ?: return
         val batches = outbox.uncopied(live(), BATCHES_AT_ONCE).filter { asked.add(it.name) }
         if (batches.isEmpty() && released.size < RELEASED_AT_ONCE) return
-        val message = HoldCopies(batches, released.toList())
+        val message = HoldCopiesRequest(batches, released.toList())
         released.clear()
-        post(peer, HOLD_PATH, message, HoldCopies.serializer()).whenComplete { answer, _ ->
+        post(peer, HOLD_PATH, message, HoldCopiesRequest.serializer()).whenComplete { answer, _ ->
             duty.offer(BillingMessage.Copied(batches.map { it.name }, peer.id.takeIf { accepted(answer) }))
         }
     }
@@ -174,17 +180,17 @@
         if (closing || chosen == null || chosen.id == network.self.id) {
             writer.offer(batch)
         } else {
-            post(chosen, STORE_PATH, StoreBatch(network.self, batch), StoreBatch.serializer())
+            post(chosen, STORE_PATH, StoreBatchRequest(network.self, batch), StoreBatchRequest.serializer())
         }
     }
 
     /** Runs on the writer's thread. */
     private fun stored(names: List<BatchName>) {
         duty.offer(BillingMessage.Stored(names))
-        duty.offer(BillingMessage.Held(HoldCopies(released = names)))
+        duty.offer(BillingMessage.Held(HoldCopiesRequest(released = names)))
         val byAsker = names.mapNotNull { name -> askedBy.remove(name)?.let { it to name } }
         byAsker.groupBy({ it.first }, { it.second }).forEach { (asker, theirs) ->
-            post(asker, STORED_PATH, BatchesStored(theirs), BatchesStored.serializer())
+            post(asker, STORED_PATH, BatchesStoredNotice(theirs), BatchesStoredNotice.serializer())
         }
     }
 
@@ -198,17 +204,17 @@
 
     private fun accepted(answer: Either<PeerError, String>?): Boolean {
         val text = answer?.getOrNull() ?: return false
-        return PeerProtocol.json.decodeFromString(BillingAccepted.serializer(), text).accepted
+        return PeerProtocol.json.decodeFromString(BillingAcknowledgement.serializer(), text).accepted
     }
 
     private fun answerHold(body: String): String {
-        val message = PeerProtocol.json.decodeFromString(HoldCopies.serializer(), body)
+        val message = PeerProtocol.json.decodeFromString(HoldCopiesRequest.serializer(), body)
         val room = copies.records + message.batches.sumOf { it.records.size } <= mostCopies
         return accepted(room && duty.offer(BillingMessage.Held(message)))
     }
 
     private fun answerStore(body: String): String {
-        val message = PeerProtocol.json.decodeFromString(StoreBatch.serializer(), body)
+        val message = PeerProtocol.json.decodeFromString(StoreBatchRequest.serializer(), body)
         // An asker that is forgotten sends its batch again.
         if (askedBy.size > MOST_ASKERS) askedBy.clear()
         askedBy[message.batch.name] = message.from
@@ -218,17 +224,17 @@
     }
 
     private fun answerStored(body: String): String {
-        val message = PeerProtocol.json.decodeFromString(BatchesStored.serializer(), body)
+        val message = PeerProtocol.json.decodeFromString(BatchesStoredNotice.serializer(), body)
         return accepted(duty.offer(BillingMessage.Stored(message.names)))
     }
 
     private fun answerHandOver(body: String): String {
-        val message = PeerProtocol.json.decodeFromString(HandedOverBatches.serializer(), body)
+        val message = PeerProtocol.json.decodeFromString(HandOverRequest.serializer(), body)
         return accepted(duty.offer(BillingMessage.HandedOver(message.batches)))
     }
 
     private fun accepted(taken: Boolean): String =
-        PeerProtocol.json.encodeToString(BillingAccepted.serializer(), BillingAccepted(taken))
+        PeerProtocol.json.encodeToString(BillingAcknowledgement.serializer(), BillingAcknowledgement(taken))
 
     /** Seals what is open, waits a while for the platform to hold everything, and hands a peer what is left. */
     override fun close() {
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingMessages.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingMessages.kt
@@ -10,33 +10,33 @@
 
 /** Asks a peer to hold copies of [batches] until they are released, and to drop those in [released]. */
 @Serializable
-internal data class HoldCopies(
+internal data class HoldCopiesRequest(
     val batches: List<SealedBatch> = emptyList(),
     val released: List<BatchName> = emptyList(),
 )
 
 /** Asks a writer to store [batch] and to tell [from] when it has. */
 @Serializable
-internal data class StoreBatch(
+internal data class StoreBatchRequest(
     val from: Member,
     val batch: SealedBatch,
 )
 
 /** Says that the platform holds the batches [names]. */
 @Serializable
-internal data class BatchesStored(
+internal data class BatchesStoredNotice(
     val names: List<BatchName>,
 )
 
 /** Makes a peer answerable for storing [batches] from now on. */
 @Serializable
-internal data class HandedOverBatches(
+internal data class HandOverRequest(
     val batches: List<SealedBatch>,
 )
 
 /** Says whether a message was taken. */
 @Serializable
-internal data class BillingAccepted(
+internal data class BillingAcknowledgement(
     val accepted: Boolean,
 )
 
@@ -47,7 +47,7 @@
     ) : BillingMessage
 
     data class Held(
-        val message: HoldCopies,
+        val message: HoldCopiesRequest,
     ) : BillingMessage
 
     data class Stored(
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingTap.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingRecorder.kt
@@ -11,7 +11,7 @@
 import kotlin.math.roundToLong
 
 /** Makes the billing record of a request at its end, if any of it was dispatched. */
-internal class BillingTap(
+internal class BillingRecorder(
     private val holder: CatalogueHolder,
     private val offer: (BillingRecord) -> Unit,
     private val wallMillis: () -> Long = System::currentTimeMillis,
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
@@ -24,7 +24,7 @@
 
 /** Claims non-idempotent calls before they go on, so that each key is dispatched at most once over the whole fleet. */
 internal class ClaimFilter(
-    private val peers: ClaimPeers,
+    private val peers: ClaimPeerProtocol,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
     private val wallMillis: () -> Long,
@@ -39,7 +39,7 @@
         return place(exchange, call).fold(
             { Answer.Refused(it).completed() },
             { (shard, request) ->
-                ClaimedCall(shard, request, dispatchBy(exchange), exchange, next, peers, ledger, clock).start()
+                ClaimedCallExecution(shard, request, dispatchBy(exchange), exchange, next, peers, ledger, clock).start()
             },
         )
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/Claims.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimModule.kt
@@ -9,7 +9,7 @@
 import dev.almondhaven.store.ObjectStore
 
 /** The parts of one router that deal with claims, put together. */
-internal class Claims(
+internal class ClaimModule(
     settings: ClaimSettings,
     objects: ObjectStore,
     clock: NanoClock,
@@ -17,10 +17,10 @@
     wallMillis: () -> Long = System::currentTimeMillis,
 ) : AutoCloseable {
     private val limits = ShardWriterLimits(writeInterval = settings.writeInterval)
-    private val writers = ClaimWriters(objects, limits, clock, wallMillis)
+    private val writers = ClaimWriterPool(objects, limits, clock, wallMillis)
     private val ledger = AttemptLedger(network.self.id)
     private val peers =
-        ClaimPeers({ network.view }, network.transport, writers, ledger, clock, settings.relayTimeout)
+        ClaimPeerProtocol({ network.view }, network.transport, writers, ledger, clock, settings.relayTimeout)
             .also { it.register(network.handlers) }
 
     /** Claims non-idempotent calls; stands behind admission and before the choice of an endpoint. */
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeers.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
@@ -24,13 +24,13 @@
 
 /** Asks an attempt's holder for its status. */
 @Serializable
-internal data class AttemptQuestion(
+internal data class AttemptStatusRequest(
     val attempt: Attempt,
 )
 
-/** The holder's answer to an [AttemptQuestion]. */
+/** The holder's answer to an [AttemptStatusRequest]. */
 @Serializable
-internal data class AttemptAnswer(
+internal data class AttemptStatusResponse(
     val status: AttemptStatus,
 )
 
@@ -45,7 +45,7 @@
 
 /** Says that a message was taken; what comes of it is sent on its own. */
 @Serializable
-internal data class RelayAccepted(
+internal data class RelayAcknowledgement(
     val accepted: Boolean = true,
 )
 
@@ -60,10 +60,10 @@
  * The routers' part in claims. A shard's owner only saves writes: whoever can't reach it writes by itself, and owner
  * and router may both write the same operation, since applying it twice has the effect of applying it once.
  */
-internal class ClaimPeers(
+internal class ClaimPeerProtocol(
     private val view: () -> FleetView,
     private val transport: PeerTransport,
-    private val writers: ClaimWriters,
+    private val writers: ClaimWriterPool,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
     private val relayTimeout: Duration,
@@ -100,7 +100,7 @@
         val verdict = CompletableFuture<ClaimVerdict>()
         relayed[number] = verdict
         val message = RelayedOperation(number, view().self, shard, operation)
-        post(owner, RELAY_PATH, message, RelayedOperation.serializer(), RelayAccepted.serializer())
+        post(owner, RELAY_PATH, message, RelayedOperation.serializer(), RelayAcknowledgement.serializer())
             .thenAccept { accepted -> if (accepted == null) verdict.cancel(false) }
         return verdict
             .orTimeout(relayTimeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
@@ -113,8 +113,8 @@
             return CompletableFuture.completedFuture(ledger.ask(attempt, clock.nanos()))
         }
         val holder = memberOrNull(attempt) ?: return CompletableFuture.completedFuture(null)
-        val message = AttemptQuestion(attempt)
-        return post(holder, ASK_PATH, message, AttemptQuestion.serializer(), AttemptAnswer.serializer())
+        val message = AttemptStatusRequest(attempt)
+        return post(holder, ASK_PATH, message, AttemptStatusRequest.serializer(), AttemptStatusResponse.serializer())
             .thenApply { it?.status }
     }
 
@@ -141,10 +141,10 @@
     ): A? = runCatching { json.decodeFromString(answers, text) }.getOrNull()
 
     private fun answerQuestion(body: String): String {
-        val question = json.decodeFromString(AttemptQuestion.serializer(), body)
+        val question = json.decodeFromString(AttemptStatusRequest.serializer(), body)
         return json.encodeToString(
-            AttemptAnswer.serializer(),
-            AttemptAnswer(ledger.ask(question.attempt, clock.nanos())),
+            AttemptStatusResponse.serializer(),
+            AttemptStatusResponse(ledger.ask(question.attempt, clock.nanos())),
         )
     }
 
@@ -152,7 +152,7 @@
         val message = json.decodeFromString(RelayedOperation.serializer(), body)
         writers.submit(message.shard, message.operation).thenAccept { verdict ->
             val answer = RelayedVerdict(message.number, verdict)
-            post(message.from, VERDICT_PATH, answer, RelayedVerdict.serializer(), RelayAccepted.serializer())
+            post(message.from, VERDICT_PATH, answer, RelayedVerdict.serializer(), RelayAcknowledgement.serializer())
         }
         return ACCEPTED
     }
@@ -168,6 +168,6 @@
         const val RELAY_PATH = "claims/relay"
         const val VERDICT_PATH = "claims/verdict"
         val json = PeerProtocol.json
-        val ACCEPTED = json.encodeToString(RelayAccepted.serializer(), RelayAccepted())
+        val ACCEPTED = json.encodeToString(RelayAcknowledgement.serializer(), RelayAcknowledgement())
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriters.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
@@ -30,7 +30,7 @@
 internal class ClaimOperationDropped : RuntimeException("too many claim operations wait")
 
 /** Settles operations on claims with the platform, each shard on one of a few duty threads. */
-internal class ClaimWriters(
+internal class ClaimWriterPool(
     private val objects: ObjectStore,
     private val limits: ShardWriterLimits,
     private val clock: NanoClock,
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCall.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
@@ -29,13 +29,13 @@
 private val logger = KotlinLogging.logger {}
 
 /** Carries out what a [ClaimProcess] decides, on the exchange's event loop. */
-internal class ClaimedCall(
+internal class ClaimedCallExecution(
     private val shard: ClaimShard,
     request: ClaimRequest,
     dispatchBy: Long,
     private val exchange: Exchange,
     private val next: RequestHandler,
-    private val peers: ClaimPeers,
+    private val peers: ClaimPeerProtocol,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
 ) : DispatchGate {
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/RepeatOutcomeFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/IdempotencyOutcomeFilter.kt
@@ -13,7 +13,7 @@
  * key, so a refusal from before the claim was read says `unknown`. A caller that sends `Idempotency-Attempt: 1` vouches
  * that there was no earlier request.
  */
-internal object RepeatOutcomeFilter : RequestFilter {
+internal object IdempotencyOutcomeFilter : RequestFilter {
     private const val IDEMPOTENCY_KEY = "idempotency-key"
     private const val IDEMPOTENCY_ATTEMPT = "idempotency-attempt"
 
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/GuardedObjects.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/GuardedObjects.kt
@@ -36,7 +36,7 @@
             breaker = breaker,
             listener = platformCallMetrics(metrics.registry),
         )
-    metrics.gauge("almondhaven_platform_circuit_open", "1 while calls of the platform are held back.") {
+    metrics.registerGauge("almondhaven_platform_circuit_open", "1 while calls of the platform are held back.") {
         if (breaker.open) 1.0 else 0.0
     }
     return GuardedObjectStore(platform, guards, clock, Random.Default)
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
@@ -65,7 +65,7 @@
             .fold(Use.NONE) { sum, word -> sum + Use(word.inFlight, word.tokensPerMinute) }
     }
 
-    override fun outgoing(budgetBytes: Int): JsonElement? {
+    override fun nextPayload(budgetBytes: Int): JsonElement? {
         val words = ArrayList<RouterWord>()
         var bytes = 0
         val freshestFirst = heard.values.sortedByDescending { it.at }.map { it.word }
@@ -78,7 +78,7 @@
         return Json.encodeToJsonElement(WORDS, words)
     }
 
-    override fun incoming(
+    override fun mergePayload(
         from: RouterId,
         payload: JsonElement,
     ) {
--- a/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
@@ -44,7 +44,7 @@
     private var duty: DutyThread<Unit>? = null
 
     private class Group(
-        val lease: StoredLease,
+        val lease: ObjectStoreLease,
     ) {
         var fencing: Long? = null
         var nextLoadAt = 0L
@@ -130,7 +130,7 @@
     }
 
     private fun newLease(domain: FailureDomainId) =
-        StoredLease(ObjectKey(key(domain)), view.self.id, leaseSettings, objects, clock)
+        ObjectStoreLease(ObjectKey(key(domain)), view.self.id, leaseSettings, objects, clock)
 
     private fun key(domain: FailureDomainId) = "leases/engine-orders/$domain"
 
--- a/router/src/main/kotlin/dev/almondhaven/router/order/StoredLease.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/ObjectStoreLease.kt
@@ -17,7 +17,7 @@
 import java.util.UUID
 
 /** A [Lease] kept at one object of the platform. Its calls block. */
-internal class StoredLease(
+internal class ObjectStoreLease(
     private val key: ObjectKey,
     self: RouterId,
     settings: LeaseSettings,
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
@@ -20,7 +20,7 @@
 ) : GossipTopic {
     override val name: String = "evidence"
 
-    override fun outgoing(budgetBytes: Int): JsonElement? {
+    override fun nextPayload(budgetBytes: Int): JsonElement? {
         val readings = mutableListOf<EvidenceMessage>()
         var left = budgetBytes - LARGEST_READING_BYTES
         while (left > 0) {
@@ -31,7 +31,7 @@
         return if (readings.isEmpty()) null else json.encodeToJsonElement(serializer, readings)
     }
 
-    override fun incoming(
+    override fun mergePayload(
         from: RouterId,
         payload: JsonElement,
     ): Unit = controller.merge(json.decodeFromJsonElement(serializer, payload).mapNotNull { it.toReadingOrNull() })
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/GossipTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/GossipTopic.kt
@@ -12,10 +12,10 @@
     public val name: String
 
     /** What to tell a peer now, within about [budgetBytes] of JSON; null when there is nothing to tell. */
-    public fun outgoing(budgetBytes: Int): JsonElement?
+    public fun nextPayload(budgetBytes: Int): JsonElement?
 
     /** Merges what [from] told. */
-    public fun incoming(
+    public fun mergePayload(
         from: RouterId,
         payload: JsonElement,
     )
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/GossipTopics.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/GossipTopics.kt
@@ -28,7 +28,7 @@
         val ordered = topics.drop(first) + topics.take(first)
         return buildMap {
             ordered.forEach { topic ->
-                val section = topic.outgoing(remaining) ?: return@forEach
+                val section = topic.nextPayload(remaining) ?: return@forEach
                 val bytes = section.toString().length + topic.name.length
                 if (bytes > remaining) return@forEach
                 remaining -= bytes
@@ -44,7 +44,7 @@
         topics.forEach { topic ->
             val section = sections[topic.name] ?: return@forEach
             try {
-                topic.incoming(from, section)
+                topic.mergePayload(from, section)
             } catch (exception: IllegalArgumentException) {
                 LogEvent.PEER_MESSAGE_BAD.log(logger, exception) { "from=$from topic=${topic.name}" }
             }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
@@ -38,9 +38,9 @@
             clock.nanos(),
         )
     private val exchange = GossipExchange(membership, holder, freshness, network.topics)
-    private val vmList = settings.vmList?.let { VmListReader(it) }
+    private val vmList = settings.vmList?.let { VmListPoller(it) }
     private var published: FleetView = FleetView.alone(network.self)
-    private val duty: DutyThread<PeerMessage>
+    private val duty: DutyThread<PeerTask>
 
     init {
         membership.lookAt(settings.seeds)
@@ -55,13 +55,13 @@
 
     private fun answerProbe(body: String): String {
         val answer = CompletableFuture<String>()
-        require(duty.offer(PeerMessage.Probe(body, answer))) { "more peer messages than this router can take" }
+        require(duty.offer(PeerTask.Probe(body, answer))) { "more peer messages than this router can take" }
         return await(answer)
     }
 
     private fun relayProbe(body: String): String {
         val reached = CompletableFuture<Boolean>()
-        require(duty.offer(PeerMessage.Relay(body, reached))) { "more peer messages than this router can take" }
+        require(duty.offer(PeerTask.Relay(body, reached))) { "more peer messages than this router can take" }
         return GossipExchange.indirectAnswer(await(reached))
     }
 
@@ -78,17 +78,17 @@
         publish()
     }
 
-    private fun handle(message: PeerMessage) {
+    private fun handle(message: PeerTask) {
         when (message) {
-            is PeerMessage.Probe -> answer(message)
-            is PeerMessage.Relay -> relay(message)
-            is PeerMessage.Completed -> completed(message)
-            is PeerMessage.Leave -> leave(message)
+            is PeerTask.Probe -> answer(message)
+            is PeerTask.Relay -> relay(message)
+            is PeerTask.Completed -> completed(message)
+            is PeerTask.Leave -> leave(message)
         }
         publish()
     }
 
-    private fun answer(message: PeerMessage.Probe) {
+    private fun answer(message: PeerTask.Probe) {
         try {
             message.answer.complete(exchange.answerProbe(clock.nanos(), message.body))
         } catch (exception: IllegalArgumentException) {
@@ -96,16 +96,16 @@
         }
     }
 
-    private fun relay(message: PeerMessage.Relay) {
+    private fun relay(message: PeerTask.Relay) {
         val request = exchange.relayedProbe(clock.nanos(), message.body)
         post(request).thenAccept { message.reached.complete(it.isRight()) }
     }
 
-    private fun completed(message: PeerMessage.Completed) {
+    private fun completed(message: PeerTask.Completed) {
         exchange.completed(clock.nanos(), message.request, message.answer.getOrNull()).forEach(::send)
     }
 
-    private fun leave(message: PeerMessage.Leave) {
+    private fun leave(message: PeerTask.Leave) {
         val posts = exchange.leave(clock.nanos()).map { post(it) }
         CompletableFuture.allOf(*posts.toTypedArray()).thenRun { message.told.complete(Unit) }
     }
@@ -116,7 +116,7 @@
 
     private fun post(request: PeerRequest) =
         network.transport.post(request.to, request.path, request.body).whenComplete { answer, _ ->
-            if (answer != null) duty.offer(PeerMessage.Completed(request, answer))
+            if (answer != null) duty.offer(PeerTask.Completed(request, answer))
         }
 
     private fun publish() {
@@ -146,7 +146,7 @@
     /** Tells a few other routers that this one stops, and stops. */
     override fun close() {
         val told = CompletableFuture<Unit>()
-        if (duty.offer(PeerMessage.Leave(told))) {
+        if (duty.offer(PeerTask.Leave(told))) {
             runCatching { told.get(HANDLING_TIMEOUT.inWholeMilliseconds, TimeUnit.MILLISECONDS) }
         }
         duty.stop()
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/QuarantineTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/QuarantineTopic.kt
@@ -14,14 +14,14 @@
 ) : GossipTopic {
     override val name: String = "quarantine"
 
-    override fun outgoing(budgetBytes: Int): JsonElement? {
+    override fun nextPayload(budgetBytes: Int): JsonElement? {
         val newest =
             controller.snapshot.quarantines.all
                 .takeLast(minOf(MAXIMUM, budgetBytes / LARGEST_BYTES))
         return if (newest.isEmpty()) null else json.encodeToJsonElement(serializer, newest)
     }
 
-    override fun incoming(
+    override fun mergePayload(
         from: RouterId,
         payload: JsonElement,
     ): Unit = controller.merge(QuarantineSet.of(json.decodeFromJsonElement(serializer, payload)))
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/VmListReader.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/VmListPoller.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Reads the platform's list of VMs now and then. The list lags, so it only says where to look for routers. */
-internal class VmListReader(
+internal class VmListPoller(
     address: String,
 ) : AutoCloseable {
     private val path = URI(address).rawPath.ifEmpty { "/" }
--- a/router/src/main/kotlin/dev/almondhaven/router/session/PeerSessionDirectory.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/session/PeerSessionDirectory.kt
@@ -32,16 +32,16 @@
     /** Answers look-ups of peers at [LOOK_UP_PATH]. */
     public val lookUpHandler: PeerHandler =
         PeerHandler { body ->
-            val key = json.decodeFromString(SessionLookUp.serializer(), body).key
-            json.encodeToString(SessionAnswer.serializer(), SessionAnswer(local.held(key)))
+            val key = json.decodeFromString(SessionLookupRequest.serializer(), body).key
+            json.encodeToString(SessionPinResponse.serializer(), SessionPinResponse(local.held(key)))
         }
 
     /** Takes pins of peers at [PIN_PATH]. */
     public val pinHandler: PeerHandler =
         PeerHandler { body ->
-            val notice = json.decodeFromString(SessionNotice.serializer(), body)
+            val notice = json.decodeFromString(SessionPinUpdate.serializer(), body)
             notice.replaces?.let { local.replace(it, notice.pin) }
-            json.encodeToString(SessionAnswer.serializer(), SessionAnswer(local.keep(notice.pin)))
+            json.encodeToString(SessionPinResponse.serializer(), SessionPinResponse(local.keep(notice.pin)))
         }
 
     override fun lookUp(key: SessionKey): CompletableFuture<SessionPin?> {
@@ -50,13 +50,13 @@
     }
 
     override fun refresh(key: SessionKey): CompletableFuture<SessionPin?> {
-        val answers = ask(key, LOOK_UP_PATH, SessionLookUp.serializer(), SessionLookUp(key))
+        val answers = ask(key, LOOK_UP_PATH, SessionLookupRequest.serializer(), SessionLookupRequest(key))
         return answers.thenApply { pins -> merged(pins)?.let { local.keep(it) } ?: local.held(key) }
     }
 
     override fun remember(pin: SessionPin): CompletableFuture<SessionPin> {
         val kept = local.keep(pin)
-        val answers = ask(pin.key, PIN_PATH, SessionNotice.serializer(), SessionNotice(kept))
+        val answers = ask(pin.key, PIN_PATH, SessionPinUpdate.serializer(), SessionPinUpdate(kept))
         return answers.thenApply { pins -> local.keep(merged(pins) ?: kept) }
     }
 
@@ -65,7 +65,7 @@
         pin: SessionPin,
     ) {
         local.replace(from, pin)
-        ask(pin.key, PIN_PATH, SessionNotice.serializer(), SessionNotice(pin, replaces = from))
+        ask(pin.key, PIN_PATH, SessionPinUpdate.serializer(), SessionPinUpdate(pin, replaces = from))
     }
 
     private fun merged(pins: List<SessionPin>): SessionPin? = pins.reduceOrNull(SessionPin::merge)
@@ -96,16 +96,16 @@
         holder: Member,
         path: String,
         body: String,
-    ): CompletableFuture<SessionAnswer?> =
+    ): CompletableFuture<SessionPinResponse?> =
         transport
             .post(holder, path, body)
             .thenApply { result -> result.map { parse(it) }.getOrElse { null } }
             .completeOnTimeout(null, timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
             .exceptionally { null }
 
-    private fun parse(text: String): SessionAnswer? =
+    private fun parse(text: String): SessionPinResponse? =
         try {
-            json.decodeFromString(SessionAnswer.serializer(), text)
+            json.decodeFromString(SessionPinResponse.serializer(), text)
         } catch (_: SerializationException) {
             null
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/session/SessionMessages.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/session/SessionMessages.kt
@@ -6,7 +6,7 @@
 
 /** Asks a holder for a session's pin. */
 @Serializable
-internal data class SessionLookUp(
+internal data class SessionLookupRequest(
     val key: SessionKey,
 )
 
@@ -16,13 +16,13 @@
  * @property replaces the pin that this one replaces because its version is withdrawn.
  */
 @Serializable
-internal data class SessionNotice(
+internal data class SessionPinUpdate(
     val pin: SessionPin,
     val replaces: SessionPin? = null,
 )
 
 /** A holder's answer: the pin that it holds now. */
 @Serializable
-internal data class SessionAnswer(
+internal data class SessionPinResponse(
     val pin: SessionPin? = null,
 )
--- a/router/src/main/kotlin/dev/almondhaven/router/session/Sessions.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/session/SessionModule.kt
@@ -7,7 +7,7 @@
 import dev.almondhaven.router.settings.SessionSettings
 
 /** What a router needs to keep sessions on their version, put together from settings. */
-internal class Sessions(
+internal class SessionModule(
     private val settings: SessionSettings,
     peers: PeerNetwork,
 ) {
--- a/router/src/test/kotlin/dev/almondhaven/router/ServingPathTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/EndpointFailoverTest.kt
@@ -24,7 +24,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
-class ServingPathTest {
+class EndpointFailoverTest {
     private val silence = EndpointSettings(firstByteDeadline = 200.milliseconds, tokenDeadline = 200.milliseconds)
     private val deployment = TestDeployment(moreEngines = 2, endpointSettings = silence).publish()
     private val engines = listOf(deployment.engine) + deployment.moreEngines
--- a/router/src/test/kotlin/dev/almondhaven/router/RouterPathTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/RouterRequestTest.kt
@@ -20,7 +20,7 @@
 import strikt.assertions.isFalse
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
-class RouterPathTest {
+class RouterRequestTest {
     private val deployment = TestDeployment().publish()
 
     private val request = """{"model":"auto","messages":[{"role":"user","content":"hi"}],"max_tokens":3}"""
--- a/router/src/test/kotlin/dev/almondhaven/router/SessionPathTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/SessionRoutingTest.kt
@@ -20,7 +20,7 @@
 import strikt.assertions.isNull
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
-class SessionPathTest {
+class SessionRoutingTest {
     private val deployment = TestDeployment().publish()
     private val models = mutableListOf("slate")
 
--- a/router/src/test/kotlin/dev/almondhaven/router/billing/BillingPathTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/billing/BillingShutdownTest.kt
@@ -10,7 +10,7 @@
 import strikt.api.expectThat
 import strikt.assertions.isEqualTo
 
-class BillingPathTest {
+class BillingShutdownTest {
     private val request = """{"model":"auto","messages":[{"role":"user","content":"hi"}],"max_tokens":3}"""
 
     @Nested
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeersTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
@@ -33,7 +33,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
-class ClaimPeersTest {
+class ClaimPeerProtocolTest {
     private val objects =
         FaultyObjectStore(InMemoryObjectStore(), 1, ObjectStoreFaults(lostAnswers = 0.3, staleReads = 0.2))
     private val members = List(3) { Member(RouterId("router-$it"), FailureDomainId("west"), "10.0.0.$it:1") }
@@ -46,10 +46,16 @@
         val handlers = PeerHandlers()
         val ledger = AttemptLedger(self.id)
         val writers =
-            ClaimWriters(objects, ShardWriterLimits(writeInterval = 5.milliseconds), NanoClock.SYSTEM) { 0 }
+            ClaimWriterPool(objects, ShardWriterLimits(writeInterval = 5.milliseconds), NanoClock.SYSTEM) { 0 }
         val peers =
-            ClaimPeers({ FixedFleetView(self, members) }, this, writers, ledger, NanoClock.SYSTEM, 200.milliseconds)
-                .also { it.register(handlers) }
+            ClaimPeerProtocol(
+                { FixedFleetView(self, members) },
+                this,
+                writers,
+                ledger,
+                NanoClock.SYSTEM,
+                200.milliseconds,
+            ).also { it.register(handlers) }
 
         override fun post(
             to: Member,
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPathTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimRequestTest.kt
@@ -24,7 +24,7 @@
 import java.util.concurrent.CompletableFuture
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
-class ClaimPathTest {
+class ClaimRequestTest {
     private val deployment = TestDeployment().also { it.publish(noteWithOrders(it)) }
 
     @AfterAll
--- a/router/src/test/kotlin/dev/almondhaven/router/peer/FleetTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/peer/RouterGossipTest.kt
@@ -47,7 +47,7 @@
 /** Routers on loopback, the second one cut off from the platform from its start. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 @TestMethodOrder(MethodOrderer.OrderAnnotation::class)
-class FleetTest {
+class RouterGossipTest {
     private val key = PeerKey("0123456789abcdef")
     private val ring = PeerKeyRing(listOf(key))
     private val objects = InMemoryObjectStore()
