--- a/router/src/main/kotlin/dev/almondhaven/router/AnswerWriter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/AnswerWriter.kt
@@ -23,7 +23,7 @@
         onFailedFrame: (Refusal) -> Unit,
     ): HttpResponse =
         when (answer) {
-            is Answer.Whole -> HttpResponse.of(headers(exchange, answer.status, answer.contentType), answer.body)
+            is Answer.Complete -> HttpResponse.of(headers(exchange, answer.status, answer.contentType), answer.body)
             is Answer.Streamed -> stream(exchange, answer, onFailedFrame)
             is Answer.Refused -> refusal(exchange, answer.refusal)
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/Router.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/Router.kt
@@ -18,21 +18,21 @@
 import dev.almondhaven.router.claim.RepeatOutcomeFilter
 import dev.almondhaven.router.controller.CatalogueHolder
 import dev.almondhaven.router.controller.ConfigurationWatcher
-import dev.almondhaven.router.controller.guardedObjects
+import dev.almondhaven.router.controller.guardedObjectStore
+import dev.almondhaven.router.endpoint.AdmissionQueue
 import dev.almondhaven.router.endpoint.Dispatcher
 import dev.almondhaven.router.endpoint.EndpointClients
 import dev.almondhaven.router.endpoint.EndpointDirectory
 import dev.almondhaven.router.endpoint.LoadReportPoller
-import dev.almondhaven.router.endpoint.WaitingRoom
 import dev.almondhaven.router.filter.AdmissionFilter
-import dev.almondhaven.router.filter.ConfigurationAgeFilter
-import dev.almondhaven.router.filter.DomainServiceFilter
+import dev.almondhaven.router.filter.AuthenticationFilter
 import dev.almondhaven.router.filter.EndpointChoiceFilter
-import dev.almondhaven.router.filter.IdentifyFilter
 import dev.almondhaven.router.filter.ModelListFilter
+import dev.almondhaven.router.filter.OutOfServiceDomainFilter
 import dev.almondhaven.router.filter.ParseFilter
 import dev.almondhaven.router.filter.RequestHandler
 import dev.almondhaven.router.filter.RetryFilter
+import dev.almondhaven.router.filter.StaleConfigurationFilter
 import dev.almondhaven.router.filter.filterChain
 import dev.almondhaven.router.limit.UsageLimiter
 import dev.almondhaven.router.order.EngineOrderController
@@ -74,10 +74,10 @@
     private val workers = EndpointClients.newWorkers(Runtime.getRuntime().availableProcessors())
     private val clients = EndpointClients(workers, settings.endpoints.connectTimeout, settings.endpoints.pingInterval)
     private val peers = PeerNetwork.open(settings.peers, settings.process.failureDomain)
-    private val objects = guardedObjects(platform, settings.platform, clock, metrics) { peers.view.members.size }
+    private val objects = guardedObjectStore(platform, settings.platform, clock, metrics) { peers.view.members.size }
     private val sessions = Sessions(settings.sessions, peers)
     private val directory = EndpointDirectory(holder, peers.view, clock)
-    private val waitingRoom = WaitingRoom(clock)
+    private val admissionQueue = AdmissionQueue(clock)
     private val limiter = UsageLimiter(holder, peers.view, clock)
     private val loadReports = LoadReportPoller(directory, clients, clock, settings.endpoints.statusInterval)
     private val peerController = settings.peers?.let { PeerController(peers, it, holder, freshness, clock) }
@@ -109,9 +109,9 @@
     private fun start() {
         addGauges()
         peers.topics.register(limiter.gossip)
-        clients.whenConnectionCloses { address ->
+        clients.onConnectionClosed { address ->
             directory.recordConnectionLost(address)
-            loadReports.pollSoon(address)
+            loadReports.pollNow(address)
         }
         watcher.start()
         engineOrders.start()
@@ -144,10 +144,10 @@
     private fun chain(): RequestHandler =
         filterChain(
             listOf(
-                ConfigurationAgeFilter({ holder.generation }, status::staleSince),
+                StaleConfigurationFilter({ holder.generation }, status::staleSince),
                 RepeatOutcomeFilter,
-                DomainServiceFilter(holder, settings.process.failureDomain),
-                IdentifyFilter(holder),
+                OutOfServiceDomainFilter(holder, settings.process.failureDomain),
+                AuthenticationFilter(holder),
                 ParseFilter(holder),
                 ModelListFilter(holder),
                 sessions.filter(holder),
@@ -155,7 +155,7 @@
                 claims.filter,
                 choice.filter(),
                 RetryFilter(settings.endpoints, clock),
-                EndpointChoiceFilter(directory, waitingRoom, clock),
+                EndpointChoiceFilter(directory, admissionQueue, clock),
             ),
             Dispatcher(
                 holder,
@@ -215,7 +215,7 @@
         billing.close()
         watcher.close()
         loadReports.close()
-        waitingRoom.close()
+        admissionQueue.close()
         limiter.close()
         directory.close()
         peers.close()
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/Billing.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/Billing.kt
@@ -14,7 +14,7 @@
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.peer.PeerProtocol
 import dev.almondhaven.router.RouterMetrics
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.peer.PeerError
 import dev.almondhaven.router.peer.PeerNetwork
 import dev.almondhaven.router.settings.BillingSettings
@@ -51,7 +51,7 @@
 
     /** Touched by the duty's thread only. */
     private var closing = false
-    private val duty = DutyThread.start("billing", RING, TICK, ::tick, ::take)
+    private val duty = ActorThread.start("billing", RING, TICK, ::tick, ::take)
 
     init {
         network.handlers.register(HOLD_PATH, ::answerHold)
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingWriter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingWriter.kt
@@ -4,7 +4,7 @@
 import dev.almondhaven.billing.BillingObject
 import dev.almondhaven.billing.SealedBatch
 import dev.almondhaven.model.LogEvent
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.store.BillingStore
 import dev.almondhaven.store.PlatformError
 import io.github.oshai.kotlinlogging.KotlinLogging
@@ -28,7 +28,7 @@
 
     @Volatile
     private var unwrittenBatches = 0
-    private val duty = DutyThread.start("billing-store", RING, writeInterval, ::write, ::take)
+    private val duty = ActorThread.start("billing-store", RING, writeInterval, ::write, ::take)
 
     /** Stores [batch] some time; false if it was not taken. */
     fun offer(batch: SealedBatch): Boolean = duty.offer(batch)
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
@@ -81,7 +81,7 @@
     ): ClaimRequest {
         val line = "${exchange.method} ${call.path}\n".toByteArray()
         val body = Digest.of(line + exchange.body.array())
-        return ClaimRequest(key.digest, body, wallMillis(), exchange.journal.firstUseProven)
+        return ClaimRequest(key.digest, body, wallMillis(), exchange.journal.firstUseConfirmed)
     }
 
     private data class PlacedRequest(
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
@@ -5,7 +5,7 @@
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.decision.membership.RendezvousHash
 import dev.almondhaven.model.LogEvent
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.store.ObjectStore
 import io.github.oshai.kotlinlogging.KotlinLogging
 import kotlin.time.Duration.Companion.minutes
@@ -21,7 +21,7 @@
     private val view: () -> FleetView,
     private val wallMillis: () -> Long,
 ) : AutoCloseable {
-    private val duty = DutyThread.start<Unit>("claims-sweep", RING, INTERVAL, ::sweepIfMine) { }
+    private val duty = ActorThread.start<Unit>("claims-sweep", RING, INTERVAL, ::sweepIfMine) { }
 
     private fun sweepIfMine() {
         val minute = wallMillis() / INTERVAL.inWholeMilliseconds
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriters.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriters.kt
@@ -10,7 +10,7 @@
 import dev.almondhaven.decision.claim.ShardWriterLimits
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.store.ObjectKey
 import dev.almondhaven.store.ObjectStore
 import dev.almondhaven.store.ObjectVersion
@@ -77,7 +77,7 @@
         index: Int,
     ) {
         private val shards = HashMap<ClaimShard, ActiveShard>()
-        val duty: DutyThread<Submission> = DutyThread.start("claims-$index", RING, TICK, ::pumpAll, ::take)
+        val duty: ActorThread<Submission> = ActorThread.start("claims-$index", RING, TICK, ::pumpAll, ::take)
 
         private fun take(submission: Submission) {
             val shard = shards.getOrPut(submission.shard) { ActiveShard(submission.shard) }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCall.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCall.kt
@@ -45,7 +45,7 @@
     private var dispatching = false
 
     // A dispatched call counts as running until its own end, also when its caller has left.
-    private val releaseJournal = exchange.journal.hold()
+    private val releaseJournal = exchange.journal.deferEnd()
 
     /** The answer, at the exchange's deadline at the latest. */
     fun start(): CompletableFuture<Answer> {
@@ -59,9 +59,9 @@
         return answer
     }
 
-    override fun tryPass(): Boolean = ledger.tryDispatch(attempt, clock.nanos())
+    override fun tryAcquire(): Boolean = ledger.tryDispatch(attempt, clock.nanos())
 
-    override fun notSent(): Unit = ledger.notSent(attempt)
+    override fun releaseUnsent(): Unit = ledger.notSent(attempt)
 
     private fun run(actions: List<ClaimAction>): Unit = actions.forEach(::run)
 
@@ -128,7 +128,7 @@
     }
 
     private fun kept(result: Answer): RecordedAnswer? {
-        val whole = (result as? Answer.Whole)?.takeIf { it.body.length() <= KEPT_ANSWER_BYTES } ?: return null
+        val whole = (result as? Answer.Complete)?.takeIf { it.body.length() <= KEPT_ANSWER_BYTES } ?: return null
         val body = Base64.getEncoder().encodeToString(whole.body.array())
         return RecordedAnswer(whole.status.code(), whole.contentType.toString(), body)
     }
@@ -136,7 +136,7 @@
     private fun replay(kept: RecordedAnswer) {
         exchange.journal.addAnswerHeader("x-almondhaven-replayed", "true")
         val body = HttpData.wrap(Base64.getDecoder().decode(kept.body))
-        answer.complete(Answer.Whole(HttpStatus.valueOf(kept.status), MediaType.parse(kept.contentType), body))
+        answer.complete(Answer.Complete(HttpStatus.valueOf(kept.status), MediaType.parse(kept.contentType), body))
     }
 
     private fun refuse(action: ClaimAction.Refuse) {
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/RepeatOutcomeFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/RepeatOutcomeFilter.kt
@@ -40,7 +40,7 @@
         answer: Answer,
     ): Answer {
         val refusal = (answer as? Answer.Refused)?.refusal ?: return answer
-        val claimed = refusal.outcome == Outcome.NOT_RUN && !exchange.journal.firstUseProven
+        val claimed = refusal.outcome == Outcome.NOT_RUN && !exchange.journal.firstUseConfirmed
         if (!claimed || refusal.code in alwaysRefused) return answer
         return Answer.Refused(refusal.copy(outcome = Outcome.UNKNOWN))
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/DutyThread.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ActorThread.kt
@@ -15,11 +15,11 @@
  * Any thread may offer; nothing but the duty thread touches the duty's state, so the state needs no locks.
  *
  * ```
- * val duty = DutyThread.start("billing", capacity = 4096, onMessage = batch::add, onTick = batch::flush)
+ * val duty = ActorThread.start("billing", capacity = 4096, onMessage = batch::add, onTick = batch::flush)
  * if (!duty.offer(record)) rejected.increment()
  * ```
  */
-public class DutyThread<M : Any> private constructor(
+public class ActorThread<M : Any> private constructor(
     private val name: String,
     capacity: Int,
     private val tickInterval: Duration,
@@ -102,10 +102,10 @@
             tickInterval: Duration = DEFAULT_TICK,
             onTick: () -> Unit = {},
             onMessage: (M) -> Unit,
-        ): DutyThread<M> {
+        ): ActorThread<M> {
             require(capacity >= 2) { "capacity must be 2 or more, got $capacity" }
             require(tickInterval.isPositive()) { "tickInterval must be positive, got $tickInterval" }
-            return DutyThread(name, capacity, tickInterval, onMessage, onTick).also { it.thread.start() }
+            return ActorThread(name, capacity, tickInterval, onMessage, onTick).also { it.thread.start() }
         }
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
@@ -41,7 +41,7 @@
 )
 
 /** A reading of another router's evidence. */
-internal data class EvidenceReading(
+internal data class EvidenceUpdate(
     val cell: EvidenceCell,
     val tally: Tally,
 )
@@ -56,7 +56,7 @@
     ) : ChoiceMessage
 
     class EvidenceTold(
-        val readings: List<EvidenceReading>,
+        val readings: List<EvidenceUpdate>,
     ) : ChoiceMessage
 
     class QuarantinesTold(
@@ -78,13 +78,13 @@
     private val pool = EvidencePool(self)
     private val windows = RecentWindows(pool)
     private val pending = PendingRatings(MAXIMUM_PENDING_RATINGS)
-    private val toTell = ArrayBlockingQueue<EvidenceReading>(MAXIMUM_TO_TELL)
+    private val toTell = ArrayBlockingQueue<EvidenceUpdate>(MAXIMUM_TO_TELL)
     private var distrusted = emptySet<Long>()
     private var lastEvaluation = 0L
     private var lastDistrustCheck = 0L
 
     @Volatile
-    private var duty: DutyThread<ChoiceMessage>? = null
+    private var duty: ActorThread<ChoiceMessage>? = null
 
     /** What requests read. */
     @Volatile
@@ -92,7 +92,7 @@
         private set
 
     fun start() {
-        duty = DutyThread.start("choice", RING, TICK, onTick = ::tick, onMessage = ::take)
+        duty = ActorThread.start("choice", RING, TICK, onTick = ::tick, onMessage = ::take)
     }
 
     override fun close() {
@@ -110,7 +110,7 @@
     }
 
     /** Takes in other routers' evidence. */
-    fun merge(readings: List<EvidenceReading>) {
+    fun merge(readings: List<EvidenceUpdate>) {
         duty?.offer(ChoiceMessage.EvidenceTold(readings))
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** The next reading to tell a peer, or null when nothing has changed. */
-    fun nextReading(): EvidenceReading? = toTell.poll()
+    fun nextEvidenceUpdate(): EvidenceUpdate? = toTell.poll()
 
     /** What operators are told. */
     fun report(): RollOutReport {
@@ -217,7 +217,7 @@
                 .toSet()
         pool
             .nextToTell(missing) { (it.version.model to it.version.version) in rolledOut }
-            .forEach { (cell, tally) -> toTell.offer(EvidenceReading(cell, tally)) }
+            .forEach { (cell, tally) -> toTell.offer(EvidenceUpdate(cell, tally)) }
     }
 
     private companion object {
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ConfigurationWatcher.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ConfigurationWatcher.kt
@@ -45,11 +45,11 @@
         private set
 
     @Volatile
-    private var duty: DutyThread<Unit>? = null
+    private var duty: ActorThread<Unit>? = null
 
     /** Starts the watching thread. */
     public fun start() {
-        duty = DutyThread.start("configuration-watch", RING, TICK, onTick = ::refresh) { refresh() }
+        duty = ActorThread.start("configuration-watch", RING, TICK, onTick = ::refresh) { refresh() }
     }
 
     override fun close() {
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/GuardedObjects.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/GuardedObjectStores.kt
@@ -20,7 +20,7 @@
 private const val BURST = 100.0
 
 /** Guards the calls of this router: its share of the platform's rate, a circuit breaker, retries and metrics. */
-internal fun guardedObjects(
+internal fun guardedObjectStore(
     platform: ObjectStore,
     settings: PlatformSettings,
     clock: NanoClock,
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/RatingPoller.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/RatingPoller.kt
@@ -30,10 +30,10 @@
     private var available = true
 
     @Volatile
-    private var duty: DutyThread<Unit>? = null
+    private var duty: ActorThread<Unit>? = null
 
     fun start() {
-        duty = DutyThread.start("ratings", RING, interval, onTick = ::poll) { poll() }
+        duty = ActorThread.start("ratings", RING, interval, onTick = ::poll) { poll() }
     }
 
     override fun close() {
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/WaitingRoom.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/AdmissionQueue.kt
@@ -5,7 +5,7 @@
 import dev.almondhaven.decision.limit.FairQueue
 import dev.almondhaven.decision.limit.QueuedRequest
 import dev.almondhaven.model.NanoClock
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicInteger
@@ -14,37 +14,37 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** How waiting for an endpoint ended. */
-internal sealed interface Turn {
+internal sealed interface QueueResult {
     /** It is the request's turn at the chosen endpoint. */
-    data class Served(
+    data class Admitted(
         val choice: EndpointChoice,
-    ) : Turn
+    ) : QueueResult
 
     /** The request can't be served in time. */
     data class Refused(
         val retryAfter: Duration,
-    ) : Turn
+    ) : QueueResult
 }
 
 /** A request that waits for an endpoint of one pool. */
-internal class Waiter(
+internal class WaitingRequest(
     val choose: () -> EndpointChoice,
     val hasLeft: () -> Boolean,
 ) {
-    val turn: CompletableFuture<Turn> = CompletableFuture()
+    val turn: CompletableFuture<QueueResult> = CompletableFuture()
 }
 
 /**
  * Where requests wait while every endpoint of their pool is at its limit: one fair queue for each pool, all on one duty
  * thread. A full ring refuses the newcomer; a lost hint that a slot is free is made up for by the next tick.
  */
-internal class WaitingRoom(
+internal class AdmissionQueue(
     private val clock: NanoClock,
 ) : AutoCloseable {
     private sealed interface Message {
         class Enter(
             val key: PoolKey,
-            val request: QueuedRequest<Waiter>,
+            val request: QueuedRequest<WaitingRequest>,
         ) : Message
 
         class SlotFree(
@@ -52,9 +52,9 @@
         ) : Message
     }
 
-    private val queues = HashMap<PoolKey, FairQueue<Waiter>>()
+    private val queues = HashMap<PoolKey, FairQueue<WaitingRequest>>()
     private val counts = ConcurrentHashMap<PoolKey, AtomicInteger>()
-    private val duty = DutyThread.start("waiting", RING_CAPACITY, TICK, ::tick, ::handle)
+    private val duty = ActorThread.start("waiting", RING_CAPACITY, TICK, ::tick, ::handle)
 
     /** Requests that wait for [key]. */
     fun waiting(key: PoolKey): Int = counts[key]?.get() ?: 0
@@ -62,10 +62,10 @@
     /** Lets [request] wait; its turn comes through the waiter's future. */
     fun enter(
         key: PoolKey,
-        request: QueuedRequest<Waiter>,
-    ): CompletableFuture<Turn> {
+        request: QueuedRequest<WaitingRequest>,
+    ): CompletableFuture<QueueResult> {
         count(key).incrementAndGet()
-        if (!duty.offer(Message.Enter(key, request))) leave(key, request, Turn.Refused(RETRY_AFTER))
+        if (!duty.offer(Message.Enter(key, request))) leave(key, request, QueueResult.Refused(RETRY_AFTER))
         return request.value.turn
     }
 
@@ -86,7 +86,7 @@
     private fun admit(message: Message.Enter) {
         val queue = queues.getOrPut(message.key) { FairQueue() }
         when (val result = queue.offer(message.request, clock.nanos())) {
-            is Enqueued.Refused -> leave(message.key, message.request, Turn.Refused(result.retryAfter))
+            is Enqueued.Refused -> leave(message.key, message.request, QueueResult.Refused(result.retryAfter))
             Enqueued.Waiting -> serve(message.key, queue)
         }
     }
@@ -94,28 +94,28 @@
     private fun tick() {
         val now = clock.nanos()
         queues.forEach { (key, queue) ->
-            queue.expired(now).forEach { leave(key, it, Turn.Refused(RETRY_AFTER)) }
+            queue.expired(now).forEach { leave(key, it, QueueResult.Refused(RETRY_AFTER)) }
             serve(key, queue)
         }
     }
 
     private fun serve(
         key: PoolKey,
-        queue: FairQueue<Waiter>,
+        queue: FairQueue<WaitingRequest>,
     ) {
         while (true) {
             val next = queue.peek() ?: return
             val choice = if (next.value.hasLeft()) EndpointChoice.NoneLeft else next.value.choose()
             if (choice is EndpointChoice.AllBusy) return
             queue.poll(clock.nanos())
-            leave(key, next, Turn.Served(choice))
+            leave(key, next, QueueResult.Admitted(choice))
         }
     }
 
     private fun leave(
         key: PoolKey,
-        request: QueuedRequest<Waiter>,
-        turn: Turn,
+        request: QueuedRequest<WaitingRequest>,
+        turn: QueueResult,
     ) {
         count(key).decrementAndGet()
         request.value.turn.complete(turn)
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/AnswerFrames.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/AnswerFrameDecoder.kt
@@ -19,7 +19,7 @@
  *
  * @param resumedAfter sequence number behind which the engine said it begins; 0 for a whole answer.
  */
-internal class AnswerFrames(
+internal class AnswerFrameDecoder(
     private val journal: RequestJournal,
     resumedAfter: Long = 0,
 ) {
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/Dispatcher.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/Dispatcher.kt
@@ -64,7 +64,7 @@
         if (!remaining.isPositive()) {
             return refused(exchange, ResultCode.DEADLINE_EXCEEDED, "the deadline passed before the dispatch")
         }
-        policy.objection(exchange)?.let { return Answer.Refused(it).completed() }
+        policy.dispatchRefusal(exchange)?.let { return Answer.Refused(it).completed() }
         if (!holder.index.takesNewWork(exchange.endpoint.id)) {
             return refused(exchange, ResultCode.NO_ENDPOINT, "endpoint ${exchange.endpoint.id} takes no new work")
         }
@@ -72,7 +72,7 @@
         // A non-idempotent call runs to its end, so that its outcome can be recorded, also when its caller has left.
         val limit = if (gate == null) remaining else maxOf(remaining, nonIdempotentLimit)
         val options = RequestOptions.builder().responseTimeoutMillis(limit.inWholeMilliseconds).build()
-        if (gate != null && !gate.tryPass()) {
+        if (gate != null && !gate.tryAcquire()) {
             return refused(exchange, ResultCode.CLAIM_BOUND_PASSED, "the claim may no longer be dispatched")
         }
         val request = EndpointRequests.of(exchange)
@@ -135,7 +135,7 @@
             val body =
                 parse(response.contentUtf8())
                     ?: return bad(exchange, ResultCode.ANSWER_MALFORMED, "the answer isn't a JSON object")
-            AnswerFrames.usageOf(body)?.let { exchange.journal.recordUsage(it) }
+            AnswerFrameDecoder.usageOf(body)?.let { exchange.journal.recordUsage(it) }
         } else if (response.status().codeClass() == HttpStatusClass.SERVER_ERROR) {
             return badStatus(exchange, response.status())
         }
@@ -143,7 +143,7 @@
         exchange.attempt.recordFirstToken(clock.nanos())
         exchange.attempt.recordEnd(AttemptResult.SUCCEEDED)
         val contentType = response.contentType() ?: MediaType.OCTET_STREAM
-        return Answer.Whole(response.status(), contentType, response.content())
+        return Answer.Complete(response.status(), contentType, response.content())
     }
 
     private fun readStream(
@@ -170,7 +170,7 @@
         recordServed(exchange)
         val events = split.body().decode(ServerSentEventDecoder())
         val resumedAfter = headers.getLong(RESUMED_AFTER, 0)
-        return Answer.Streamed(AnswerFrames(exchange.journal, resumedAfter).of(events))
+        return Answer.Streamed(AnswerFrameDecoder(exchange.journal, resumedAfter).of(events))
     }
 
     private fun recordServed(exchange: Exchange): Unit =
@@ -190,7 +190,7 @@
                     return bad(exchange, ResultCode.ENDPOINT_FAILED, "the connection failed: ${cause.cause?.message}")
                 }
                 exchange.journal.recordUnsent()
-                exchange.dispatchGate?.notSent()
+                exchange.dispatchGate?.releaseUnsent()
                 bad(exchange, ResultCode.ENDPOINT_UNREACHABLE, "${cause.cause?.message}")
             }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointClients.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointClients.kt
@@ -35,7 +35,7 @@
     public fun of(endpoint: Endpoint): WebClient = clients.computeIfAbsent(endpoint.address, ::build)
 
     /** Calls [action] with `ip:port` whenever a connection to there has closed; replaces what was set before. */
-    public fun whenConnectionCloses(action: (String) -> Unit) {
+    public fun onConnectionClosed(action: (String) -> Unit) {
         closings.action = action
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointDirectory.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointDirectory.kt
@@ -18,8 +18,8 @@
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.model.ServiceId
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.controller.CatalogueHolder
-import dev.almondhaven.router.controller.DutyThread
 import dev.almondhaven.router.filter.AttemptResult
 import io.github.oshai.kotlinlogging.KotlinLogging
 import java.util.concurrent.CompletableFuture
@@ -98,10 +98,10 @@
     @Volatile
     private var polled: List<Endpoint> = emptyList()
 
-    private val duty = DutyThread.start("endpoints", RING_CAPACITY, TICK, ::tick, ::handle)
+    private val duty = ActorThread.start("endpoints", RING_CAPACITY, TICK, ::tick, ::handle)
 
     /** Endpoints whose load reports this router polls. */
-    internal val used: List<Endpoint> get() = polled
+    internal val polledEndpoints: List<Endpoint> get() = polled
 
     /** Messages lost to a full ring. */
     public val rejected: Long get() = duty.rejected
@@ -110,7 +110,7 @@
     public fun poolOrNull(key: PoolKey): EndpointPool? = pools[key]
 
     /** Completes once the pools reflect the catalogue in force now. */
-    public fun refreshed(): CompletableFuture<Unit> {
+    public fun refreshPools(): CompletableFuture<Unit> {
         val done = CompletableFuture<Unit>()
         if (!duty.offer(Message.Refresh(done))) done.complete(Unit)
         return done
@@ -126,7 +126,7 @@
     }
 
     /** Notes that [id] answers but reports no load. */
-    public fun recordReportless(id: EndpointId) {
+    public fun recordMissingLoadReport(id: EndpointId) {
         duty.offer(Message.Reportless(id))
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/LoadReportPoller.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/LoadReportPoller.kt
@@ -5,7 +5,7 @@
 import dev.almondhaven.catalogue.Endpoint
 import dev.almondhaven.decision.endpoint.LoadReport
 import dev.almondhaven.model.NanoClock
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
@@ -33,18 +33,18 @@
     )
 
     private var position = 0
-    private val duty = DutyThread.start<() -> Unit>("load-reports", RING_CAPACITY, interval, ::pollNext) { it() }
+    private val duty = ActorThread.start<() -> Unit>("load-reports", RING_CAPACITY, interval, ::pollNext) { it() }
 
     /** Polls the endpoints at [address] at once instead of in their turn. */
-    public fun pollSoon(address: String) {
-        duty.offer { directory.used.filter { it.address == address }.forEach(::poll) }
+    public fun pollNow(address: String) {
+        duty.offer { directory.polledEndpoints.filter { it.address == address }.forEach(::poll) }
     }
 
     override fun close(): Unit = duty.close()
 
     /** Polls the next [POLLED_AT_ONCE] endpoints, so that a large deployment costs no more than a small one. */
     private fun pollNext() {
-        val used = directory.used
+        val used = directory.polledEndpoints
         if (used.size <= POLLED_AT_ONCE) return used.forEach(::poll)
         repeat(POLLED_AT_ONCE) {
             position = (position + 1) % used.size
@@ -67,7 +67,7 @@
         askedAt: Long,
     ) {
         val status = if (response.status() == HttpStatus.OK) parse(response.contentUtf8()) else null
-        if (status == null) return directory.recordReportless(endpoint.id)
+        if (status == null) return directory.recordMissingLoadReport(endpoint.id)
         val uptime = status.uptimeMillis?.milliseconds
         val report = LoadReport(status.startId.content, status.running, status.waiting, status.slots, uptime)
         directory.report(endpoint.id, report, askedAt)
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/Answer.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/Answer.kt
@@ -31,7 +31,7 @@
 /** What a filter gives back for a request. */
 public sealed interface Answer {
     /** A complete answer. */
-    public data class Whole(
+    public data class Complete(
         public val status: HttpStatus,
         public val contentType: MediaType,
         public val body: HttpData,
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/IdentifyFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/AuthenticationFilter.kt
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture
 
 /** Finds the organisation that owns the request's bearer token. The catalogue holds only digests of tokens. */
-internal class IdentifyFilter(
+internal class AuthenticationFilter(
     private val holder: CatalogueHolder,
 ) : RequestFilter {
     override fun handle(
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/CascadeRunner.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/CascadeRunner.kt
@@ -103,7 +103,7 @@
         confidence: AnswerConfidence,
         strip: Boolean,
     ): Answer {
-        if (answer !is Answer.Whole) return answer
+        if (answer !is Answer.Complete) return answer
         val body = AnswerConfidence.parse(answer.body.toStringUtf8()) ?: return answer
         confidence.add(body)
         if (!strip) return answer
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/EndpointChoiceFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/EndpointChoiceFilter.kt
@@ -11,11 +11,11 @@
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.Refusal
 import dev.almondhaven.model.ResultCode
+import dev.almondhaven.router.endpoint.AdmissionQueue
 import dev.almondhaven.router.endpoint.EndpointDirectory
 import dev.almondhaven.router.endpoint.PoolKey
-import dev.almondhaven.router.endpoint.Turn
-import dev.almondhaven.router.endpoint.Waiter
-import dev.almondhaven.router.endpoint.WaitingRoom
+import dev.almondhaven.router.endpoint.QueueResult
+import dev.almondhaven.router.endpoint.WaitingRequest
 import io.github.oshai.kotlinlogging.KotlinLogging
 import org.apache.commons.rng.UniformRandomProvider
 import org.apache.commons.rng.simple.RandomSource
@@ -30,11 +30,11 @@
 /** Chooses the endpoint for an attempt, takes a slot there, and gives it back when the attempt has ended. */
 internal class EndpointChoiceFilter(
     private val directory: EndpointDirectory,
-    private val waitingRoom: WaitingRoom,
+    private val admissionQueue: AdmissionQueue,
     private val clock: NanoClock,
     private val chooser: EndpointChooser = EndpointChooser(),
 ) : RequestFilter {
-    private val usualRun = SmoothedNanos()
+    private val usualRun = MovingAverageNanos()
 
     override fun handle(
         exchange: Exchange,
@@ -42,7 +42,7 @@
     ): CompletableFuture<Answer> {
         val key = poolKey(exchange) ?: return refuse(exchange, ResultCode.NO_ENDPOINT, "no version is chosen")
         if (directory.poolOrNull(key)?.isEmpty == false) return choose(exchange, key, next)
-        return directory.refreshed().thenComposeAsync({ choose(exchange, key, next) }, exchange.eventLoop)
+        return directory.refreshPools().thenComposeAsync({ choose(exchange, key, next) }, exchange.eventLoop)
     }
 
     private fun poolKey(exchange: Exchange): PoolKey? =
@@ -56,10 +56,10 @@
         key: PoolKey,
         next: RequestHandler,
     ): CompletableFuture<Answer> {
-        val request = EndpointRequest(affinityKey(exchange), exchange.avoided)
-        val newcomer = exchange.avoided.isEmpty()
+        val request = EndpointRequest(affinityKey(exchange), exchange.triedEndpoints)
+        val newcomer = exchange.triedEndpoints.isEmpty()
         // Who comes while others wait joins the queue, or a free slot would go to whoever asks first.
-        if (newcomer && waitingRoom.waiting(key) > 0) return await(exchange, key, request, next)
+        if (newcomer && admissionQueue.waiting(key) > 0) return await(exchange, key, request, next)
         val choice = choiceFor(key, request)
         if (choice is EndpointChoice.AllBusy) return await(exchange, key, request, next)
         return follow(exchange, key, choice, next)
@@ -77,14 +77,14 @@
         request: EndpointRequest,
         next: RequestHandler,
     ): CompletableFuture<Answer> {
-        val waiter = Waiter({ choiceFor(key, request) }, { exchange.journal.hasEnded })
-        return waitingRoom.enter(key, queued(exchange, waiter)).thenComposeAsync({ turn ->
+        val waiter = WaitingRequest({ choiceFor(key, request) }, { exchange.journal.hasEnded })
+        return admissionQueue.enter(key, queued(exchange, waiter)).thenComposeAsync({ turn ->
             when (turn) {
-                is Turn.Served -> {
+                is QueueResult.Admitted -> {
                     follow(exchange, key, turn.choice, next)
                 }
 
-                is Turn.Refused -> {
+                is QueueResult.Refused -> {
                     refuse(
                         exchange,
                         ResultCode.OVERLOADED,
@@ -98,8 +98,8 @@
 
     private fun queued(
         exchange: Exchange,
-        waiter: Waiter,
-    ): QueuedRequest<Waiter> =
+        waiter: WaitingRequest,
+    ): QueuedRequest<WaitingRequest> =
         QueuedRequest(
             waiter,
             exchange.organisation.id,
@@ -141,7 +141,7 @@
         startedAt: Long,
     ) {
         state.release()
-        waitingRoom.slotFree(key)
+        admissionQueue.slotFree(key)
         if (result == AttemptResult.SUCCEEDED) usualRun.record(clock.nanos() - startedAt)
         when (result) {
             AttemptResult.SUCCEEDED -> state.health.recordSuccess()
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/Exchange.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/Exchange.kt
@@ -19,7 +19,7 @@
  * @property arrivedAt monotonic nanoseconds.
  * @property deadline monotonic nanoseconds after which the answer is worthless.
  * @property attempt the try that this copy belongs to.
- * @property avoided endpoints that earlier attempts have tried.
+ * @property triedEndpoints endpoints that earlier attempts have tried.
  * @property resumeAfter sequence number of the last frame that the caller already has.
  * @property pinnedVersion the only version that the request's session may run on; null when the choice is free.
  */
@@ -37,7 +37,7 @@
     private val chosenVersion: ModelVersion? = null,
     private val chosenEndpoint: Endpoint? = null,
     public val attempt: Attempt = Attempt(),
-    public val avoided: Set<EndpointId> = emptySet(),
+    public val triedEndpoints: Set<EndpointId> = emptySet(),
     public val resumeAfter: Long = 0,
     private val gate: DispatchGate? = null,
 ) {
@@ -72,10 +72,10 @@
     public fun with(endpoint: Endpoint): Exchange = copy(chosenEndpoint = endpoint)
 
     /** A copy for a new attempt, which is not to use what earlier attempts used. */
-    internal fun retrying(
-        avoided: Set<EndpointId>,
+    internal fun forRetry(
+        triedEndpoints: Set<EndpointId>,
         resumeAfter: Long,
-    ): Exchange = copy(attempt = Attempt(), avoided = avoided, resumeAfter = resumeAfter)
+    ): Exchange = copy(attempt = Attempt(), triedEndpoints = triedEndpoints, resumeAfter = resumeAfter)
 
     public fun with(dispatchGate: DispatchGate): Exchange = copy(gate = dispatchGate)
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/ModelListFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/ModelListFilter.kt
@@ -26,7 +26,7 @@
                 put("object", JsonPrimitive("list"))
                 put("data", buildJsonArray { versions.forEach { add(describe(it)) } })
             }
-        return Answer.Whole(HttpStatus.OK, MediaType.JSON, HttpData.ofUtf8(body.toString())).completed()
+        return Answer.Complete(HttpStatus.OK, MediaType.JSON, HttpData.ofUtf8(body.toString())).completed()
     }
 
     private fun describe(version: ModelVersion): JsonObject =
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/SmoothedNanos.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/MovingAverageNanos.kt
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /** An exponentially smoothed duration that any thread may update. */
-internal class SmoothedNanos {
+internal class MovingAverageNanos {
     private val smoothed = AtomicLong()
 
     /** The smoothed value; 0 before the first one. */
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/DomainServiceFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/OutOfServiceDomainFilter.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Refuses new work while operators have this router's failure domain out of service; running work goes on. */
-internal class DomainServiceFilter(
+internal class OutOfServiceDomainFilter(
     private val holder: CatalogueHolder,
     private val failureDomain: FailureDomainId,
 ) : RequestFilter {
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestText.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestFeatures.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.json.contentOrNull
 
 /** Reads features of a chat request that the task classes rest on. */
-internal object RequestText {
+internal object RequestFeatures {
     /** Whether a message of [body] holds an image part. */
     fun holdsImages(body: JsonObject): Boolean {
         val messages = body["messages"] as? JsonArray ?: return false
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestJournal.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestJournal.kt
@@ -52,12 +52,12 @@
 
     /** Whether it is settled that no earlier request under the same idempotency key was dispatched. */
     @Volatile
-    public var firstUseProven: Boolean = false
+    public var firstUseConfirmed: Boolean = false
         private set
 
     /** Notes that no earlier request under the same idempotency key was dispatched. */
     public fun recordFirstUse() {
-        firstUseProven = true
+        firstUseConfirmed = true
     }
 
     /** Notes that bytes of an attempt are about to be sent to an endpoint. */
@@ -161,7 +161,7 @@
     }
 
     /** Puts the end of the request off until the returned function is called, as long as the request hasn't ended. */
-    public fun hold(): () -> Unit {
+    public fun deferEnd(): () -> Unit {
         holds.incrementAndGet()
         val released = AtomicBoolean()
         return { if (released.compareAndSet(false, true)) release() }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RetryFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RetryFilter.kt
@@ -38,7 +38,7 @@
         next: RequestHandler,
     ): CompletableFuture<Answer> {
         val tries = Tries(next)
-        val first = exchange.retrying(exchange.avoided, exchange.resumeAfter)
+        val first = exchange.forRetry(exchange.triedEndpoints, exchange.resumeAfter)
         return tries.run(first).thenApply { tries.relayed(it) }
     }
 
@@ -104,7 +104,16 @@
         resumeAfter: Long,
     ): Exchange {
         val used = exchange.attempt.endpoint?.id
-        return exchange.retrying(if (used == null) exchange.avoided else exchange.avoided + used, resumeAfter)
+        return exchange.forRetry(
+            if (used ==
+                null
+            ) {
+                exchange.triedEndpoints
+            } else {
+                exchange.triedEndpoints + used
+            },
+            resumeAfter,
+        )
     }
 
     private fun later(
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/ConfigurationAgeFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/StaleConfigurationFilter.kt
@@ -8,7 +8,7 @@
  * Tells the caller when the configuration that its answer rests on is no longer confirmed by the platform, for example
  * `x-almondhaven-configuration: 17; stale since 2026-01-31T08:00:00Z`.
  */
-internal class ConfigurationAgeFilter(
+internal class StaleConfigurationFilter(
     private val generation: () -> Generation,
     private val staleSince: () -> Long?,
 ) : RequestFilter {
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/VersionPolicy.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/VersionPolicy.kt
@@ -30,7 +30,7 @@
     }
 
     /** Why [exchange] may not be dispatched to its version now, or null when it may. */
-    fun objection(exchange: Exchange): Refusal? {
+    fun dispatchRefusal(exchange: Exchange): Refusal? {
         val version = exchange.version ?: return null
         val index = holder.index
         val outcome = exchange.journal.errorOutcome()
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
@@ -55,7 +55,7 @@
     }
 
     /** What the other live routers use of [organisation]'s limits, by their last word. */
-    public fun othersUse(organisation: OrganisationId): Use {
+    public fun usageOfOthers(organisation: OrganisationId): Use {
         val now = clock.nanos()
         val live = fleet.members.mapTo(HashSet()) { it.id }
         heard.values.removeIf { it.word.router !in live || now - it.at > PATIENCE.inWholeNanoseconds }
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageLimiter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageLimiter.kt
@@ -6,8 +6,8 @@
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.OrganisationId
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.controller.CatalogueHolder
-import dev.almondhaven.router.controller.DutyThread
 import java.util.concurrent.ConcurrentHashMap
 import kotlin.time.Duration.Companion.milliseconds
 
@@ -24,7 +24,7 @@
     public val gossip: UsageGossip = UsageGossip(fleet, clock)
 
     private val uses = ConcurrentHashMap<OrganisationId, OrganisationUse>()
-    private val duty = DutyThread.start<Unit>("limits", RING_CAPACITY, TICK, ::refresh) {}
+    private val duty = ActorThread.start<Unit>("limits", RING_CAPACITY, TICK, ::refresh) {}
 
     /** The use of [organisation]. */
     public fun of(organisation: Organisation): OrganisationUse =
@@ -39,7 +39,7 @@
         val routers = fleet.members.size
         uses.forEach { (id, use) ->
             val limits = holder.index.organisation(id)?.limits ?: return@forEach
-            use.refresh(limits, gossip.othersUse(id), routers, now)
+            use.refresh(limits, gossip.usageOfOthers(id), routers, now)
         }
         gossip.tell(uses.mapValues { it.value.told }.filterValues { it != Use.NONE })
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
@@ -14,8 +14,8 @@
 import dev.almondhaven.model.FailureDomainId
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.controller.CatalogueHolder
-import dev.almondhaven.router.controller.DutyThread
 import dev.almondhaven.router.settings.EngineOrderSettings
 import dev.almondhaven.store.ObjectKey
 import dev.almondhaven.store.ObjectStore
@@ -41,7 +41,7 @@
     private val groups = HashMap<FailureDomainId, Group>()
 
     @Volatile
-    private var duty: DutyThread<Unit>? = null
+    private var duty: ActorThread<Unit>? = null
 
     private class Group(
         val lease: StoredLease,
@@ -53,7 +53,7 @@
     /** Starts the duty if the settings say so. */
     fun start() {
         if (!settings.enabled) return
-        duty = DutyThread.start("engine-orders", RING, settings.interval, onTick = ::tick) { tick() }
+        duty = ActorThread.start("engine-orders", RING, settings.interval, onTick = ::tick) { tick() }
     }
 
     private fun tick() {
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
@@ -8,7 +8,7 @@
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.model.TaskClass
 import dev.almondhaven.router.controller.ChoiceController
-import dev.almondhaven.router.controller.EvidenceReading
+import dev.almondhaven.router.controller.EvidenceUpdate
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.builtins.ListSerializer
 import kotlinx.serialization.json.Json
@@ -24,7 +24,7 @@
         val readings = mutableListOf<EvidenceMessage>()
         var left = budgetBytes - LARGEST_READING_BYTES
         while (left > 0) {
-            val message = EvidenceMessage.of(controller.nextReading() ?: break)
+            val message = EvidenceMessage.of(controller.nextEvidenceUpdate() ?: break)
             readings += message
             left -= message.bytes
         }
@@ -43,7 +43,7 @@
     }
 }
 
-/** An [EvidenceReading] in a message. */
+/** An [EvidenceUpdate] in a message. */
 @Serializable
 private data class EvidenceMessage(
     val origin: RouterId,
@@ -56,15 +56,15 @@
     val bytes: Int get() =
         FIELD_NAMES_BYTES + origin.value.length + "$version".length + taskClass.value.length + counts.length
 
-    fun toReadingOrNull(): EvidenceReading? {
+    fun toReadingOrNull(): EvidenceUpdate? {
         val tally = Tally.parseOrNull(counts) ?: return null
-        return EvidenceReading(EvidenceCell(origin, EvidenceSubject(version, definedIn, taskClass), bucket), tally)
+        return EvidenceUpdate(EvidenceCell(origin, EvidenceSubject(version, definedIn, taskClass), bucket), tally)
     }
 
     companion object {
         private const val FIELD_NAMES_BYTES = 110
 
-        fun of(reading: EvidenceReading): EvidenceMessage {
+        fun of(reading: EvidenceUpdate): EvidenceMessage {
             val (origin, subject, bucket) = reading.cell
             return EvidenceMessage(
                 origin,
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
@@ -10,7 +10,7 @@
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.RouterId
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.settings.PeerSettings
 import io.github.oshai.kotlinlogging.KotlinLogging
 import org.apache.commons.rng.simple.RandomSource
@@ -40,11 +40,11 @@
     private val exchange = GossipExchange(membership, holder, freshness, network.topics)
     private val vmList = settings.vmList?.let { VmListReader(it) }
     private var published: FleetView = FleetView.alone(network.self)
-    private val duty: DutyThread<PeerMessage>
+    private val duty: ActorThread<PeerMessage>
 
     init {
         membership.lookAt(settings.seeds)
-        duty = DutyThread.start("peers", RING, TICK, ::tick, ::handle)
+        duty = ActorThread.start("peers", RING, TICK, ::tick, ::handle)
         network.handlers.register(GossipExchange.PROBE, ::answerProbe)
         network.handlers.register(GossipExchange.INDIRECT_PROBE, ::relayProbe)
         network.handlers.register(GossipExchange.FETCH) { exchange.answerFetch(it) }
--- a/router/src/test/kotlin/dev/almondhaven/router/filter/ModelChoiceFilterTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/filter/ModelChoiceFilterTest.kt
@@ -25,7 +25,7 @@
     private val sure = -0.05
     private val unsure = -1.5
 
-    private fun versions(scene: ChoiceScene): List<String> =
+    private fun versions(scene: ModelChoiceFixture): List<String> =
         scene.sent.map {
             it.version
                 ?.model
@@ -35,7 +35,7 @@
 
     private fun text(answer: Answer): String =
         when (answer) {
-            is Answer.Whole -> {
+            is Answer.Complete -> {
                 answer.body.toStringUtf8()
             }
 
@@ -67,9 +67,9 @@
     inner class `a cascade` {
         @Test
         fun `ends with a confident cheap answer, without the log-probabilities that it asked for`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
 
-            val answer = scene.run(scene.exchange()) { ChoiceScene.whole("cheap", sure) }
+            val answer = scene.run(scene.exchange()) { ModelChoiceFixture.whole("cheap", sure) }
 
             expectThat(versions(scene)).containsExactly("small")
             expectThat(text(answer)).isEqualTo(plain("cheap"))
@@ -77,14 +77,14 @@
 
         @Test
         fun `shows nothing of an answer that it takes back`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
 
             val answer =
                 scene.run(scene.exchange(streamed = true)) { step ->
                     if (step.version == scene.small) {
-                        ChoiceScene.streamed("cheap", unsure)
+                        ModelChoiceFixture.streamed("cheap", unsure)
                     } else {
-                        ChoiceScene.streamed("strong", sure)
+                        ModelChoiceFixture.streamed("strong", sure)
                     }
                 }
 
@@ -94,10 +94,10 @@
 
         @Test
         fun `notes the usage of both steps`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
             val exchange = scene.exchange()
 
-            scene.run(exchange) { ChoiceScene.whole("any", unsure) }
+            scene.run(exchange) { ModelChoiceFixture.whole("any", unsure) }
 
             expectThat(exchange.journal.discardedSteps)
                 .containsExactly(RequestStep(scene.small.id, EndpointId("e"), Usage(10, 5)))
@@ -107,13 +107,19 @@
 
         @Test
         fun `gives the cheap answer after all when the escalation fails, and says so`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
             val exchange = scene.exchange()
 
             val answer =
                 scene.run(exchange) { step ->
                     val refusal = Refusal(ResultCode.ENDPOINT_FAILED, "no", Outcome.UNKNOWN)
-                    if (step.version == scene.small) ChoiceScene.whole("cheap", unsure) else Answer.Refused(refusal)
+                    if (step.version ==
+                        scene.small
+                    ) {
+                        ModelChoiceFixture.whole("cheap", unsure)
+                    } else {
+                        Answer.Refused(refusal)
+                    }
                 }
 
             expectThat(text(answer)).isEqualTo(plain("cheap"))
@@ -124,12 +130,18 @@
 
         @Test
         fun `escalates when the cheap step fails`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
 
             val answer =
                 scene.run(scene.exchange()) { step ->
                     val refusal = Refusal(ResultCode.ENDPOINT_FAILED, "no", Outcome.UNKNOWN)
-                    if (step.version == scene.small) Answer.Refused(refusal) else ChoiceScene.whole("strong", sure)
+                    if (step.version ==
+                        scene.small
+                    ) {
+                        Answer.Refused(refusal)
+                    } else {
+                        ModelChoiceFixture.whole("strong", sure)
+                    }
                 }
 
             expectThat(text(answer).contains("strong")).isTrue()
@@ -137,15 +149,15 @@
 
         @Test
         fun `doesn't escalate to a version withdrawn during the first step`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
 
             scene.run(scene.exchange()) {
                 val withdrawn = scene.large.copy(state = VersionState.WITHDRAWN)
                 scene.holder.offer(scene.catalogue(2, listOf(scene.small, withdrawn)))
-                ChoiceScene.whole("cheap", unsure)
+                ModelChoiceFixture.whole("cheap", unsure)
             }
 
-            expectThat(scene.sent.map { scene.policy.objection(it)?.code })
+            expectThat(scene.sent.map { scene.policy.dispatchRefusal(it)?.code })
                 .containsExactly(null, ResultCode.UNKNOWN_MODEL)
         }
     }
@@ -154,11 +166,11 @@
     inner class `a request that names its version` {
         @Test
         fun `gets it, also in quarantine`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
             scene.quarantines = quarantine(scene.small)
 
             scene.run(scene.exchange(selector = ModelSelector.Version(scene.small.id))) {
-                ChoiceScene.whole("cheap", unsure)
+                ModelChoiceFixture.whole("cheap", unsure)
             }
 
             expectThat(versions(scene)).containsExactly("small")
@@ -166,9 +178,9 @@
 
         @Test
         fun `by its session gets it`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
 
-            scene.run(scene.exchange().pinnedTo(scene.small.id)) { ChoiceScene.whole("cheap", unsure) }
+            scene.run(scene.exchange().pinnedTo(scene.small.id)) { ModelChoiceFixture.whole("cheap", unsure) }
 
             expectThat(versions(scene)).containsExactly("small")
         }
@@ -178,31 +190,31 @@
     inner class `a version in quarantine` {
         @Test
         fun `gets no new request`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
             scene.quarantines = quarantine(scene.small)
 
-            scene.run(scene.exchange()) { ChoiceScene.whole("any", sure) }
+            scene.run(scene.exchange()) { ModelChoiceFixture.whole("any", sure) }
 
             expectThat(versions(scene)).containsExactly("large")
         }
 
         @Test
         fun `is left at the last moment, and another one chosen`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
             val exchange = scene.exchange()
             val chosen = exchange.with(scene.small)
             scene.quarantines = quarantine(scene.small)
 
-            expectThat(scene.policy.objection(chosen)?.code).isEqualTo(ResultCode.VERSION_QUARANTINED)
-            expectThat(scene.policy.objection(chosen)?.outcome).isEqualTo(Outcome.NOT_RUN)
+            expectThat(scene.policy.dispatchRefusal(chosen)?.code).isEqualTo(ResultCode.VERSION_QUARANTINED)
+            expectThat(scene.policy.dispatchRefusal(chosen)?.outcome).isEqualTo(Outcome.NOT_RUN)
         }
 
         @Test
         fun `serves all the same when it is the last one allowed`() {
-            val scene = ChoiceScene()
+            val scene = ModelChoiceFixture()
             scene.quarantines = quarantine(scene.small).merge(quarantine(scene.large))
 
-            val answer = scene.run(scene.exchange()) { ChoiceScene.whole("any", sure) }
+            val answer = scene.run(scene.exchange()) { ModelChoiceFixture.whole("any", sure) }
 
             expectThat(answer is Answer.Refused).isEqualTo(false)
             expectThat(scene.sent.size).isEqualTo(1)
@@ -213,9 +225,9 @@
     inner class `a target out of reach` {
         @Test
         fun `is refused as not run when the organisation says so`() {
-            val scene = ChoiceScene(QualityTarget(0.999, whenMissed = TargetMissedRule.REFUSE))
+            val scene = ModelChoiceFixture(QualityTarget(0.999, whenMissed = TargetMissedRule.REFUSE))
 
-            val answer = scene.run(scene.exchange()) { ChoiceScene.whole("any", sure) }
+            val answer = scene.run(scene.exchange()) { ModelChoiceFixture.whole("any", sure) }
 
             expectThat(text(answer)).isEqualTo("TARGET_MISSED NOT_RUN")
             expectThat(scene.sent.size).isEqualTo(0)
@@ -223,10 +235,10 @@
 
         @Test
         fun `gets the best available and a header otherwise`() {
-            val scene = ChoiceScene(QualityTarget(0.999))
+            val scene = ModelChoiceFixture(QualityTarget(0.999))
             val exchange = scene.exchange()
 
-            scene.run(exchange) { ChoiceScene.whole("any", sure) }
+            scene.run(exchange) { ModelChoiceFixture.whole("any", sure) }
 
             expectThat(versions(scene)).containsExactly("large")
             expectThat(exchange.journal.answerHeaders)
--- a/router/src/test/kotlin/dev/almondhaven/router/filter/ChoiceScene.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/filter/ModelChoiceFixture.kt
@@ -37,7 +37,7 @@
 import java.util.concurrent.CompletableFuture
 
 /** The model choice before a fake engine: two models, one cheap and one strong, and one organisation. */
-internal class ChoiceScene(
+internal class ModelChoiceFixture(
     target: QualityTarget = QualityTarget(0.93),
 ) {
     val small = version("small", 0.5, 0.86)
@@ -103,13 +103,13 @@
         filter
             .handle(exchange) { step ->
                 sent += step
-                val objection = policy.objection(step)
-                if (objection == null) {
+                val dispatchRefusal = policy.dispatchRefusal(step)
+                if (dispatchRefusal == null) {
                     step.journal.recordDispatch()
                     step.journal.recordServed(step.version?.id, EndpointId("e"))
                     step.journal.recordUsage(Usage(10, 5))
                 }
-                CompletableFuture.completedFuture(objection?.let { Answer.Refused(it) } ?: answer(step))
+                CompletableFuture.completedFuture(dispatchRefusal?.let { Answer.Refused(it) } ?: answer(step))
             }.join()
 
     private fun version(
@@ -130,7 +130,7 @@
         fun whole(
             text: String,
             logProbability: Double,
-        ): Answer = Answer.Whole(HttpStatus.OK, MediaType.JSON, HttpData.ofUtf8(chunk(text, logProbability)))
+        ): Answer = Answer.Complete(HttpStatus.OK, MediaType.JSON, HttpData.ofUtf8(chunk(text, logProbability)))
 
         /** A streamed answer of one chunk. */
         fun streamed(
