--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/EvidencePool.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/EvidencePool.kt
@@ -34,9 +34,9 @@
 ) {
     private val open = HashMap<EvidenceCell, Tally>()
     private val fleet = HashMap<EvidenceSubject, TreeMap<Long, Tally>>()
-    private val arrivals = HashMap<EvidenceSubject, Tally>()
-    private val ownArrivals = HashMap<EvidenceSubject, Tally>()
-    private val untold = LinkedHashMap<EvidenceCell, Int>()
+    private val cumulativeTallies = HashMap<EvidenceSubject, Tally>()
+    private val ownCumulativeTallies = HashMap<EvidenceSubject, Tally>()
+    private val pendingGossip = LinkedHashMap<EvidenceCell, Int>()
     private var firstOpenBucket = 0L
 
     /** Open cells; what merging works on. */
@@ -46,10 +46,10 @@
     public val totals: EvidenceTotals = EvidenceTotals(fleet)
 
     /** Everything that has come in by subject, whatever its bucket. */
-    public val arrived: Map<EvidenceSubject, Tally> get() = arrivals
+    public val cumulative: Map<EvidenceSubject, Tally> get() = cumulativeTallies
 
     /** What this router has counted itself by subject, whatever its bucket. */
-    public val ownArrived: Map<EvidenceSubject, Tally> get() = ownArrivals
+    public val ownCumulative: Map<EvidenceSubject, Tally> get() = ownCumulativeTallies
 
     /** Changes this router's own tally of [subject] in the bucket of [epochMillis]. */
     public fun record(
@@ -81,28 +81,28 @@
         if (first <= firstOpenBucket) return
         firstOpenBucket = first
         open.keys.removeIf { it.bucket < first }
-        untold.keys.removeIf { it.bucket < first }
+        pendingGossip.keys.removeIf { it.bucket < first }
         val oldest = first - KEPT_BUCKETS
         fleet.values.forEach { it.headMap(oldest).clear() }
         fleet.values.removeIf { it.isEmpty() }
-        arrivals.keys.retainAll(fleet.keys)
-        ownArrivals.keys.retainAll(fleet.keys)
+        cumulativeTallies.keys.retainAll(fleet.keys)
+        ownCumulativeTallies.keys.retainAll(fleet.keys)
     }
 
     /** Up to [count] cells to tell a peer, those that changed longest ago first, [urgent] ones before the rest. */
-    public fun nextToTell(
+    public fun nextToGossip(
         count: Int,
         urgent: (EvidenceSubject) -> Boolean = { true },
     ): List<Pair<EvidenceCell, Tally>> {
         val first =
-            untold.keys
+            pendingGossip.keys
                 .asSequence()
                 .filter { urgent(it.subject) }
                 .take(count)
                 .toList()
         val missing = count - first.size
         val rest =
-            untold.keys
+            pendingGossip.keys
                 .asSequence()
                 .filterNot { urgent(it.subject) }
                 .take(missing)
@@ -118,15 +118,15 @@
     ) {
         val grown = tally - (open.put(cell, tally) ?: Tally.EMPTY)
         fleet.getOrPut(cell.subject) { TreeMap() }.merge(cell.bucket, grown) { left, right -> left + right }
-        arrivals.merge(cell.subject, grown) { left, right -> left + right }
-        if (cell.origin == self) ownArrivals.merge(cell.subject, grown) { left, right -> left + right }
-        untold.putIfAbsent(cell, TELLINGS)
-        untold.replace(cell, TELLINGS)
+        cumulativeTallies.merge(cell.subject, grown) { left, right -> left + right }
+        if (cell.origin == self) ownCumulativeTallies.merge(cell.subject, grown) { left, right -> left + right }
+        pendingGossip.putIfAbsent(cell, GOSSIP_REPEATS)
+        pendingGossip.replace(cell, GOSSIP_REPEATS)
     }
 
     private fun told(cell: EvidenceCell) {
-        val left = (untold.remove(cell) ?: return) - 1
-        if (left > 0) untold[cell] = left
+        val left = (pendingGossip.remove(cell) ?: return) - 1
+        if (left > 0) pendingGossip[cell] = left
     }
 
     public companion object {
@@ -143,7 +143,7 @@
         public const val MAXIMUM_OPEN_CELLS: Int = 60_000
 
         /** Peers that hear of each change from this router. */
-        private const val TELLINGS = 4
+        private const val GOSSIP_REPEATS = 4
 
         /** The bucket of [epochMillis]. */
         public fun bucketOf(epochMillis: Long): Long = Math.floorDiv(epochMillis, BUCKET_MILLIS)
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/ExplorationBudget.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/ExplorationBudget.kt
@@ -7,17 +7,17 @@
  *
  * @property requestShare largest part of the requests that explore.
  * @property costShare largest part of the expected cost that exploration may add.
- * @property knownDeviation a version whose quality is known this well is explored no more.
+ * @property sufficientDeviation a version whose quality is known this well is explored no more.
  */
 public data class ExplorationLimits(
     public val requestShare: Double = DEFAULT_REQUEST_SHARE,
     public val costShare: Double = DEFAULT_COST_SHARE,
-    public val knownDeviation: Double = DEFAULT_KNOWN_DEVIATION,
+    public val sufficientDeviation: Double = DEFAULT_SUFFICIENT_DEVIATION,
 ) {
     public companion object {
         public const val DEFAULT_REQUEST_SHARE: Double = 0.02
         public const val DEFAULT_COST_SHARE: Double = 0.02
-        public const val DEFAULT_KNOWN_DEVIATION: Double = 0.02
+        public const val DEFAULT_SUFFICIENT_DEVIATION: Double = 0.02
     }
 }
 
@@ -69,7 +69,7 @@
         candidates
             .filter { it.version.id != plan.first.id || plan.escalation != null }
             .filter { demand.promptTokens <= it.version.promptTokensLimit }
-            .filter { it.estimate.deviation > limits.knownDeviation }
+            .filter { it.estimate.deviation > limits.sufficientDeviation }
             .filter { mightHelp(it, plan, demand) }
             .maxByOrNull { it.estimate.deviation }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/Plan.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/Plan.kt
@@ -7,20 +7,20 @@
  *
  * @property first the version that is tried first.
  * @property escalation the version that is tried when the first answer isn't accepted; null for a single version.
- * @property acceptFrom the lowest confidence at which the first answer is accepted.
+ * @property minimumConfidence the lowest confidence at which the first answer is accepted.
  * @property cost expected cost in micro-units of the users' currency.
  * @property quality expected quality, from 0 to 1.
  * @property meetsTarget whether [quality] reaches the organisation's target.
- * @property explores whether the plan is there to learn about [first].
+ * @property isExploration whether the plan is there to learn about [first].
  */
 public data class Plan(
     public val first: ModelVersion,
     public val escalation: ModelVersion?,
-    public val acceptFrom: ConfidenceBand,
+    public val minimumConfidence: ConfidenceBand,
     public val cost: Double,
     public val quality: Double,
     public val meetsTarget: Boolean,
-    public val explores: Boolean = false,
+    public val isExploration: Boolean = false,
 )
 
 /** A version that may serve the request, with what holds for it at this moment. */
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/PlanChooser.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/PlanChooser.kt
@@ -72,7 +72,7 @@
     ) {
         private var first: Candidate? = null
         private var second: Candidate? = null
-        private var acceptFrom = ConfidenceBand.INCOMPLETE
+        private var minimumConfidence = ConfidenceBand.INCOMPLETE
         private var bestCost = 0.0
         private var bestQuality = 0.0
         private var meets = false
@@ -104,7 +104,7 @@
 
         fun plan(): Plan? {
             val chosen = first ?: return null
-            return Plan(chosen.version, second?.version, acceptFrom, bestCost, bestQuality, meets)
+            return Plan(chosen.version, second?.version, minimumConfidence, bestCost, bestQuality, meets)
         }
 
         private fun fits(candidate: Candidate): Boolean = demand.promptTokens <= candidate.version.promptTokensLimit
@@ -112,14 +112,14 @@
         private fun consider(
             first: Candidate,
             second: Candidate?,
-            acceptFrom: ConfidenceBand,
+            minimumConfidence: ConfidenceBand,
             cost: Double,
             quality: Double,
         ) {
             if (!better(cost, quality)) return
             this.first = first
             this.second = second
-            this.acceptFrom = acceptFrom
+            this.minimumConfidence = minimumConfidence
             bestCost = cost
             bestQuality = quality
             meets = quality >= demand.target
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/Tally.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/Tally.kt
@@ -16,19 +16,19 @@
     public val errors: Long get() = counters[ERRORS]
 
     /** Ratings that came in, but for those of escalated requests. */
-    public val ratings: Long get() = unjudgedRatings + ConfidenceBand.ALL.sumOf { ratings(it) }
+    public val ratings: Long get() = ratingsWithoutConfidence + ConfidenceBand.ALL.sumOf { ratings(it) }
 
     /** Sum of the [ratings], each from 0 to 1. */
-    public val ratingSum: Double get() = unjudgedRatingSum + ConfidenceBand.ALL.sumOf { ratingSum(it) }
+    public val ratingSum: Double get() = ratingSumWithoutConfidence + ConfidenceBand.ALL.sumOf { ratingSum(it) }
 
     /** Ratings of answers whose confidence isn't known. */
-    public val unjudgedRatings: Long get() = counters[UNJUDGED_RATINGS]
+    public val ratingsWithoutConfidence: Long get() = counters[RATINGS_WITHOUT_CONFIDENCE]
 
     /** Sum of the ratings of answers whose confidence isn't known. */
-    public val unjudgedRatingSum: Double get() = counters[UNJUDGED_RATING_SUM] / RATING_UNITS
+    public val ratingSumWithoutConfidence: Double get() = counters[RATING_SUM_WITHOUT_CONFIDENCE] / RATING_UNITS
 
     /** Requests whose latency is known. */
-    public val timed: Long get() = (0 until LATENCY_BANDS).sumOf { counters[LATENCIES + it] }
+    public val timedRequests: Long get() = (0 until LATENCY_BANDS).sumOf { counters[LATENCIES + it] }
 
     /** Answers whose confidence was [band]. */
     public fun answers(band: ConfidenceBand): Long = counters[ANSWERS + band.ordinal]
@@ -59,7 +59,7 @@
 
     /** The lowest latency band that at least [share] of the timed requests don't exceed. */
     public fun latencyQuantileBand(share: Double): Int {
-        val wanted = timed * share
+        val wanted = timedRequests * share
         var seen = 0L
         for (band in 0 until LATENCY_BANDS) {
             seen += counters[LATENCIES + band]
@@ -89,8 +89,8 @@
     ): Tally {
         require(rating in 0.0..1.0) { "rating must be from 0 to 1, got $rating" }
         val next = counters.copyOf()
-        next[if (confidence == null) UNJUDGED_RATINGS else RATINGS + confidence.ordinal]++
-        val sum = if (confidence == null) UNJUDGED_RATING_SUM else RATING_SUMS + confidence.ordinal
+        next[if (confidence == null) RATINGS_WITHOUT_CONFIDENCE else RATINGS + confidence.ordinal]++
+        val sum = if (confidence == null) RATING_SUM_WITHOUT_CONFIDENCE else RATING_SUMS + confidence.ordinal
         next[sum] += Math.round(rating * RATING_UNITS)
         next[RATING_HISTOGRAM + ratingBand(rating)]++
         return Tally(next)
@@ -135,8 +135,8 @@
         private const val ANSWERS = 2
         private const val RATINGS = 6
         private const val RATING_SUMS = 10
-        private const val UNJUDGED_RATINGS = 14
-        private const val UNJUDGED_RATING_SUM = 15
+        private const val RATINGS_WITHOUT_CONFIDENCE = 14
+        private const val RATING_SUM_WITHOUT_CONFIDENCE = 15
         private const val ESCALATED_RATINGS = 16
         private const val ESCALATED_RATING_SUM = 17
         private const val LATENCIES = 18
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/TaskClassifier.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/TaskClassifier.kt
@@ -7,12 +7,12 @@
  *
  * @property promptTokens estimated length of the prompt.
  * @property outputTokensLimit most tokens that the caller wants back; null when it doesn't say.
- * @property holdsImages whether the prompt holds images.
+ * @property hasImages whether the prompt holds images.
  */
 public data class RequestShape(
     public val promptTokens: Int,
     public val outputTokensLimit: Int?,
-    public val holdsImages: Boolean,
+    public val hasImages: Boolean,
 )
 
 /** The default classifier, for requests that don't declare their task class. */
@@ -35,7 +35,7 @@
     /** The class of a request of this [shape]. */
     public fun classify(shape: RequestShape): TaskClass =
         when {
-            shape.holdsImages -> TAGGING
+            shape.hasImages -> TAGGING
             shape.outputTokensLimit != null && shape.outputTokensLimit <= SHORT_OUTPUT_TOKENS -> TAGGING
             shape.promptTokens >= LONG_PROMPT_TOKENS -> DRAFTING
             else -> QUERY
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/VersionEstimate.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/VersionEstimate.kt
@@ -112,7 +112,7 @@
         private fun millisecondsPerToken(buckets: Map<Long, Tally>): Double {
             val newest =
                 buckets.entries
-                    .filter { it.value.timed > 0 }
+                    .filter { it.value.timedRequests > 0 }
                     .maxByOrNull { it.key }
                     ?.value
             newest ?: return DEFAULT_MILLISECONDS_PER_TOKEN
@@ -144,8 +144,8 @@
         for ((bucket, tally) in buckets) {
             val age = (epochMillis - bucket * EvidencePool.BUCKET_MILLIS).coerceAtLeast(0)
             val weight = 0.5.pow(age / VersionEstimate.HALF_LIFE_MILLIS)
-            unjudgedRatings += weight * tally.unjudgedRatings
-            unjudgedRatingSum += weight * tally.unjudgedRatingSum
+            unjudgedRatings += weight * tally.ratingsWithoutConfidence
+            unjudgedRatingSum += weight * tally.ratingSumWithoutConfidence
             escalatedRatings += weight * tally.escalatedRatings
             escalatedRatingSum += weight * tally.escalatedRatingSum
             for (band in ConfidenceBand.ALL) {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EjectionGroup.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EjectionGroup.kt
@@ -14,7 +14,7 @@
     }
 
     /** Endpoints ejected now. */
-    public val ejected: Int get() = synchronized(members) { members.count { it.ejected } }
+    public val ejectedCount: Int get() = synchronized(members) { members.count { it.isEjected } }
 
     internal fun add(health: EndpointHealth) {
         synchronized(members) { members += health }
@@ -30,7 +30,7 @@
         eject: () -> Boolean,
     ): Boolean =
         synchronized(members) {
-            val others = members.count { it !== health && it.ejected }
+            val others = members.count { it !== health && it.isEjected }
             others + 1 <= allowance() && eject()
         }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointChooser.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointChooser.kt
@@ -7,11 +7,11 @@
  * What matters about a request for the choice of its endpoint.
  *
  * @property affinityKey hash of its session or prompt prefix; null when it has neither.
- * @property avoided endpoints that it may not use, for example because an earlier attempt did.
+ * @property excluded endpoints that it may not use, for example because an earlier attempt did.
  */
 public data class EndpointRequest(
     public val affinityKey: Long? = null,
-    public val avoided: Set<EndpointId> = emptySet(),
+    public val excluded: Set<EndpointId> = emptySet(),
 )
 
 /** The result of a choice. */
@@ -35,14 +35,14 @@
  *
  * @property samples endpoints compared for each request.
  * @property affinityBonus queue, in requests per slot, that a warm cache makes up for.
- * @property borderPenalty queue that crossing the border is worth.
- * @property queueingFrom load from which all slots may be taken: loads are estimates, and requests come in bursts.
+ * @property crossDomainPenalty queue that crossing the border is worth.
+ * @property queueingThreshold load from which all slots may be taken: loads are estimates, and requests come in bursts.
  */
 public class EndpointChooser(
     private val samples: Int = DEFAULT_SAMPLES,
     private val affinityBonus: Double = DEFAULT_AFFINITY_BONUS,
-    private val borderPenalty: Double = DEFAULT_BORDER_PENALTY,
-    private val queueingFrom: Double = DEFAULT_QUEUEING_FROM,
+    private val crossDomainPenalty: Double = DEFAULT_CROSS_DOMAIN_PENALTY,
+    private val queueingThreshold: Double = DEFAULT_QUEUEING_THRESHOLD,
 ) {
     init {
         require(samples >= 1) { "samples must be 1 or more, got $samples" }
@@ -74,7 +74,7 @@
         }
         if (localQueue == 0.0) return local
         val remote = leastLoaded(pool.remote, pool, request, now, random) ?: return local
-        return if (queue(remote, pool, now) + borderPenalty < localQueue) remote else local
+        return if (queue(remote, pool, now) + crossDomainPenalty < localQueue) remote else local
     }
 
     /** Load beyond what likely finds a free slot; below that every endpoint starts a request at once. */
@@ -82,7 +82,7 @@
         state: EndpointState,
         pool: EndpointPool,
         now: Long,
-    ): Double = maxOf(0.0, state.load(now, pool.usualOthers) - queueingFrom)
+    ): Double = maxOf(0.0, state.load(now, pool.averageOtherRequests) - queueingThreshold)
 
     private fun leastLoaded(
         candidates: List<EndpointState>,
@@ -95,7 +95,7 @@
         var bestLoad = Double.MAX_VALUE
         repeat(if (candidates.isEmpty()) 0 else samples) {
             val candidate = candidates[random.nextInt(candidates.size)]
-            val load = candidate.load(now, pool.usualOthers)
+            val load = candidate.load(now, pool.averageOtherRequests)
             if (load < bestLoad && usable(candidate, request, now)) {
                 best = candidate
                 bestLoad = load
@@ -110,7 +110,7 @@
         now: Long,
     ): Boolean =
         candidate.ownInFlight < candidate.limit &&
-            candidate.endpoint.id !in request.avoided &&
+            candidate.endpoint.id !in request.excluded &&
             !candidate.health.refuses(now)
 
     /** Only when the sampled endpoints are all taken: looks at the others, at most [LONGEST_SEARCH] of each side. */
@@ -125,7 +125,7 @@
             val start = if (candidates.isEmpty()) 0 else random.nextInt(candidates.size)
             for (offset in 0 until minOf(candidates.size, LONGEST_SEARCH)) {
                 val candidate = candidates[(start + offset) % candidates.size]
-                if (candidate.endpoint.id in request.avoided) continue
+                if (candidate.endpoint.id in request.excluded) continue
                 allowed = true
                 if (candidate.tryAcquire(now)) return EndpointChoice.Chosen(candidate)
             }
@@ -136,8 +136,8 @@
     public companion object {
         public const val DEFAULT_SAMPLES: Int = 3
         public const val DEFAULT_AFFINITY_BONUS: Double = 0.1
-        public const val DEFAULT_BORDER_PENALTY: Double = 0.02
-        public const val DEFAULT_QUEUEING_FROM: Double = 0.85
+        public const val DEFAULT_CROSS_DOMAIN_PENALTY: Double = 0.02
+        public const val DEFAULT_QUEUEING_THRESHOLD: Double = 0.85
         private const val LONGEST_SEARCH = 32
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointHealth.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointHealth.kt
@@ -36,7 +36,7 @@
     }
 
     /** Whether ordinary requests may not use the endpoint. */
-    public val ejected: Boolean get() = state.get() !is Closed
+    public val isEjected: Boolean get() = state.get() !is Closed
 
     /** Takes the endpoint for one request [now]: always when it is healthy, else only as the single probe. */
     public fun tryUse(now: Long): Boolean =
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiter.kt
@@ -12,7 +12,7 @@
 public class EndpointLimiter(
     public val state: EndpointState,
     self: RouterId,
-    private val ramp: ColdRamp = ColdRamp(),
+    private val slowStart: SlowStart = SlowStart(),
 ) {
     private val adaptive = AdaptiveLimit(state.slots * WARM_QUEUE_FACTOR)
     private val latency = LatencyTracker()
@@ -40,7 +40,7 @@
     }
 
     /** Notes that the endpoint answers but reports no load; it is then held to the adaptive limit alone. */
-    public fun recordReportless() {
+    public fun recordNoLoadReport() {
         if (state.report == null) reportless = true
     }
 
@@ -50,10 +50,10 @@
         now: Long,
     ): Boolean {
         adaptive.recordSuccess()
-        val collapsed = latency.record(firstToken) && !state.cold && !queueing()
+        val collapsed = latency.record(firstToken) && !state.isCold && !queueing()
         if (collapsed) {
             startedAt = now
-            state.cold = true
+            state.isCold = true
         }
         return collapsed
     }
@@ -77,15 +77,15 @@
         sharers: List<RouterId>,
     ) {
         val fleetLimit = coldLimit(now)
-        state.cold = fleetLimit != null
+        state.isCold = fleetLimit != null
         state.limit = if (fleetLimit == null) adaptive.limit else settled.of(fleetLimit, sharers, now)
     }
 
     private fun coldLimit(now: Long): Int? {
         if (reportless && returnedAt == null) return null
-        if (!reportless && startedAt == null) return ramp.initialLimit
+        if (!reportless && startedAt == null) return slowStart.initialLimit
         val start = listOfNotNull(startedAt, suspectedAt, returnedAt).max()
-        return ramp.fleetLimit(state.slots, (now - start).nanoseconds)
+        return slowStart.fleetLimit(state.slots, (now - start).nanoseconds)
     }
 
     private fun queueing(): Boolean = (state.report?.waiting ?: 0) > 0
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointPool.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointPool.kt
@@ -15,7 +15,7 @@
 
     /** Average requests of other routers at an endpoint, by the reports; refreshed by the duty that polls them. */
     @Volatile
-    public var usualOthers: Double = 0.0
+    public var averageOtherRequests: Double = 0.0
         private set
 
     /** Whether the pool has no endpoint. */
@@ -24,10 +24,10 @@
     /** The endpoint that most likely holds the cache of [key]. */
     public fun preferred(key: Long): EndpointState? = affinity.preferred(key)
 
-    /** Works out [usualOthers] from the reports held now. */
-    public fun refresh() {
+    /** Works out [averageOtherRequests] from the reports held now. */
+    public fun updateAverageOtherRequests() {
         val reported = (local + remote).mapNotNull { it.othersReported }
-        usualOthers = if (reported.isEmpty()) 0.0 else reported.average()
+        averageOtherRequests = if (reported.isEmpty()) 0.0 else reported.average()
     }
 
     public companion object {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointState.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointState.kt
@@ -27,7 +27,7 @@
 
     /** Whether the endpoint is being ramped. */
     @Volatile
-    public var cold: Boolean = true
+    public var isCold: Boolean = true
         internal set
 
     @Volatile
@@ -65,22 +65,22 @@
 
     /**
      * Estimated requests per slot at the endpoint. Own requests count in full; those of other routers by the report,
-     * which fades towards [usualOthers], the pool's average, as it ages, so that a stale report of an idle endpoint
+     * which fades towards [averageOtherRequests], the pool's average, as it ages, so that a stale report of an idle endpoint
      * doesn't draw every router at once.
      */
     public fun load(
         now: Long,
-        usualOthers: Double,
-    ): Double = (inFlight.get() + others(now, usualOthers)) / slots
+        averageOtherRequests: Double,
+    ): Double = (inFlight.get() + others(now, averageOtherRequests)) / slots
 
     private fun others(
         now: Long,
-        usualOthers: Double,
+        averageOtherRequests: Double,
     ): Double {
-        val held = received ?: return usualOthers
+        val held = received ?: return averageOtherRequests
         val age = maxOf(0, now - held.takenAt).toDouble() / FADING_NANOS
         val weight = exp(-age)
-        return weight * held.others + (1 - weight) * usualOthers
+        return weight * held.others + (1 - weight) * averageOtherRequests
     }
 
     /** Takes a report that describes the endpoint at [takenAt]; older ones than held are ignored. */
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/RouterSubset.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointSubsetting.kt
@@ -11,7 +11,7 @@
  * that rendezvous hashing gives it, so that connections and load reports don't grow with the product of routers and
  * endpoints.
  */
-public class RouterSubset(
+public class EndpointSubsetting(
     private val localSize: Int = DEFAULT_LOCAL_SIZE,
     private val remoteSize: Int = DEFAULT_REMOTE_SIZE,
 ) {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/ColdRamp.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/SlowStart.kt
@@ -4,15 +4,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What the whole fleet may have in flight at an endpoint that has just started: [initialLimit], doubled every [step].
+ * What the whole fleet may have in flight at an endpoint that has just started: [initialLimit], doubled every [doublingInterval].
  */
-public data class ColdRamp(
+public data class SlowStart(
     public val initialLimit: Int = DEFAULT_INITIAL_LIMIT,
-    public val step: Duration = DEFAULT_STEP,
+    public val doublingInterval: Duration = DEFAULT_DOUBLING_INTERVAL,
 ) {
     init {
         require(initialLimit >= 1) { "initialLimit must be 1 or more, got $initialLimit" }
-        require(step.isPositive()) { "step must be positive, got $step" }
+        require(doublingInterval.isPositive()) { "doublingInterval must be positive, got $doublingInterval" }
     }
 
     /** The fleet's limit [age] after the start; null once it has reached [slots], when the endpoint is warm. */
@@ -21,7 +21,7 @@
         age: Duration,
     ): Int? {
         if (age.isNegative()) return minOf(initialLimit, slots)
-        val doublings = minOf((age / step).toInt(), MAXIMUM_DOUBLINGS)
+        val doublings = minOf((age / doublingInterval).toInt(), MAXIMUM_DOUBLINGS)
         val limit = initialLimit.toLong() shl doublings
         return if (limit >= slots && doublings > 0) null else minOf(limit, slots.toLong()).toInt()
     }
@@ -29,6 +29,6 @@
     public companion object {
         public const val DEFAULT_INITIAL_LIMIT: Int = 2
         private const val MAXIMUM_DOUBLINGS = 20
-        private val DEFAULT_STEP = 3.seconds
+        private val DEFAULT_DOUBLING_INTERVAL = 3.seconds
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/QuarantinePolicy.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/QuarantinePolicy.kt
@@ -32,10 +32,10 @@
         val active = catalogue.models.filter { it.state == VersionState.ACTIVE }
         val byId = active.associateBy { it.id }
         val past = VersionTrial.pastBuckets(EvidencePool.bucketOf(epochMillis))
-        val windows = recent.map { TrialWindow(it, RatingTrust.trusts(it, evidence, past)) }
+        val windows = recent.map { TrialWindow(it, RatingAnomalyDetector.trustsRatings(it, evidence, past)) }
         var byRatings = active.count { held.find(it)?.evidence?.measure == TrialMeasure.RATINGS }
-        return active.filterNot { held.holds(it) }.mapNotNull { version ->
-            val found = trial.verdict(version, predecessor(version, byId), evidence, windows, epochMillis)
+        return active.filterNot { held.contains(it) }.mapNotNull { version ->
+            val found = trial.evaluate(version, predecessor(version, byId), evidence, windows, epochMillis)
             val byRating = found?.measure == TrialMeasure.RATINGS
             when {
                 found == null -> {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/QuarantineSet.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/QuarantineSet.kt
@@ -18,7 +18,7 @@
     public val isEmpty: Boolean get() = bySubject.isEmpty()
 
     /** Whether [version] as it is now defined is in quarantine. */
-    public fun holds(version: ModelVersion): Boolean = bySubject.isNotEmpty() && find(version) != null
+    public fun contains(version: ModelVersion): Boolean = bySubject.isNotEmpty() && find(version) != null
 
     /** The quarantine of [version] as it is now defined, or null. */
     public fun find(version: ModelVersion): Quarantine? = bySubject[QuarantineSubject(version.id, version.definedIn)]
@@ -38,7 +38,7 @@
      * Without quarantines that [definedIn], the current definitions' generations, has overtaken or that concern versions
      * no longer there. A quarantine of a definition newer than the one held here stays: the note is still on its way.
      */
-    public fun current(definedIn: (ModelVersionId) -> Generation?): QuarantineSet {
+    public fun withoutSuperseded(definedIn: (ModelVersionId) -> Generation?): QuarantineSet {
         val kept =
             bySubject.filterKeys { subject ->
                 val held = definedIn(subject.version)
@@ -53,7 +53,7 @@
      */
     public fun usable(allowed: List<ModelVersion>): List<ModelVersion> {
         if (isEmpty) return allowed
-        val free = allowed.filterNot { holds(it) }
+        val free = allowed.filterNot { contains(it) }
         if (free.isNotEmpty() || allowed.isEmpty()) return free
         return listOf(allowed.minWith(compareBy({ evidenceAgainst(it) }, { it.id.toString() })))
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RatingTrust.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RatingAnomalyDetector.kt
@@ -9,7 +9,7 @@
  * Tells times in which the rating service itself is to blame: a version that turns bad loses quality alone, a rating
  * service that fails or turns hostile lowers the ratings of most versions at once.
  */
-public object RatingTrust {
+public object RatingAnomalyDetector {
     private const val LEAST_RATINGS = 10
     private const val LEAST_WINDOW_RATINGS = 3
     private const val DROP = 0.15
@@ -36,7 +36,7 @@
     }
 
     /** Whether the ratings of a [window] may count against versions, given their [past]. */
-    public fun trusts(
+    public fun trustsRatings(
         window: Map<EvidenceSubject, Tally>,
         evidence: EvidenceTotals,
         past: LongRange,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RecentWindows.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RecentWindows.kt
@@ -18,13 +18,13 @@
 
     /** Restarts the windows whose period is over at [epochMillis]. */
     public fun advance(epochMillis: Long) {
-        pooled.forEach { it.advance(pool.arrived, epochMillis) }
-        own.forEach { it.advance(pool.ownArrived, epochMillis) }
+        pooled.forEach { it.advance(pool.cumulative, epochMillis) }
+        own.forEach { it.advance(pool.ownCumulative, epochMillis) }
     }
 
     /** What has come in since the start of each window, by subject. */
     public fun windows(): List<Map<EvidenceSubject, Tally>> =
-        pooled.map { it.since(pool.arrived) } + own.map { it.since(pool.ownArrived) }
+        pooled.map { it.since(pool.cumulative) } + own.map { it.since(pool.ownCumulative) }
 
     /** A window that is between one and two [period]s long. */
     private class Mark(
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RollOutStage.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RollOutAssignment.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.model.ModelVersionId
 
 /** Which new sessions start on a version that is being rolled out. Every router finds the same answer. */
-public object RollOutStage {
+public object RollOutAssignment {
     private const val MINUTE_MILLIS = 60_000L
     private val hash = Hashing.murmur3_128()
 
@@ -28,7 +28,7 @@
      * Whether the session or request with [key] belongs to the part of the traffic that starts on [version]. The parts
      * only grow from stage to stage, so a session that was in stays in.
      */
-    public fun takes(
+    public fun includes(
         version: ModelVersion,
         key: String,
         epochMillis: Long,
@@ -41,7 +41,7 @@
      * The part of [versions] that the session or request with [key] chooses from: of a version under roll-out and its
      * predecessor, only the one whose turn it is. A version whose predecessor isn't among [versions] stays.
      */
-    public fun narrow(
+    public fun eligible(
         versions: List<ModelVersion>,
         key: String,
         epochMillis: Long,
@@ -52,7 +52,7 @@
             val rollOut = version.rollOut ?: continue
             val predecessor = ModelVersionId(version.model, rollOut.predecessor)
             if (versions.none { it.id == predecessor }) continue
-            left += if (takes(version, key, epochMillis)) predecessor else version.id
+            left += if (includes(version, key, epochMillis)) predecessor else version.id
         }
         return versions.filterNot { it.id in left }.ifEmpty { versions }
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RollOutReport.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RollOutReport.kt
@@ -52,8 +52,8 @@
             epochMillis: Long,
         ): RollOutProgress? {
             val rollOut = version.rollOut ?: return null
-            val halted = quarantines.holds(version)
-            val share = if (halted) 0.0 else RollOutStage.share(rollOut, epochMillis)
+            val halted = quarantines.contains(version)
+            val share = if (halted) 0.0 else RollOutAssignment.share(rollOut, epochMillis)
             val predecessor = ModelVersionId(version.model, rollOut.predecessor)
             return RollOutProgress(version.id, predecessor, share, halted)
         }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/VersionTrial.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/VersionTrial.kt
@@ -49,7 +49,7 @@
      * The strongest evidence that [version] is bad beyond its limits, or null as long as there isn't enough. Its own past
      * is compared with each of the [recent] windows.
      */
-    public fun verdict(
+    public fun evaluate(
         version: ModelVersion,
         predecessor: ModelVersion?,
         evidence: EvidenceTotals,
@@ -155,8 +155,8 @@
         val usual = reference.latencyQuantileBand(USUAL_SHARE)
         val slowBand = usual + 1 + Tally.bandsOfRatio(margins.maximumLatencyRatio)
         val slow = if (slowBand >= Tally.LATENCY_BANDS) 0 else candidate.slowerThan(slowBand)
-        val candidateSample = Sample(candidate.timed, slow.toDouble())
-        val referenceSample = Sample(reference.timed, reference.slowerThan(usual + 1).toDouble())
+        val candidateSample = Sample(candidate.timedRequests, slow.toDouble())
+        val referenceSample = Sample(reference.timedRequests, reference.slowerThan(usual + 1).toDouble())
         return increase(TrialMeasure.LATENCY, candidateSample, referenceSample, QUANTILE_MARGIN, kind, threshold)
     }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RollOutEvidence.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/CanaryComparison.kt
@@ -7,7 +7,7 @@
 /**
  * Answers of the old and the new version of a service since a roll-out began. Not safe for use from several threads.
  */
-public class RollOutEvidence {
+public class CanaryComparison {
     private var oldAnswers = 0L
     private var oldFailures = 0L
     private var newAnswers = 0L
@@ -15,10 +15,10 @@
 
     /** Notes an answer of an endpoint. */
     public fun record(
-        ofNew: Boolean,
+        isCanary: Boolean,
         failed: Boolean,
     ) {
-        if (ofNew) {
+        if (isCanary) {
             newAnswers++
             if (failed) newFailures++
         } else {
@@ -28,7 +28,7 @@
     }
 
     /** Whether the new version fails so much more often than the old one that chance does not explain it. */
-    public fun newIsBad(): Boolean {
+    public fun isCanaryWorse(): Boolean {
         if (newFailures < FEWEST_FAILURES) return false
         val usual = if (oldAnswers == 0L) 0.0 else oldFailures.toDouble() / oldAnswers
         val bearable = minOf(usual * USUAL_FACTOR + MARGIN, MOST_BEARABLE)
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/FreshnessProof.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ConfigurationAge.kt
@@ -10,7 +10,7 @@
  * The steady clock stands still while a process is suspended and the time of day may jump, so a proof ages by whichever
  * clock shows more. Not safe for use from several threads.
  */
-public class FreshnessProof(
+public class ConfigurationAge(
     private val lifetime: Duration,
 ) {
     private var steadyNanos = 0L
@@ -18,7 +18,7 @@
     private var proved = false
 
     /** Notes that a linearizable read, sent at these times, returned what is in force. */
-    public fun prove(
+    public fun confirm(
         steadyNanos: Long,
         wallMillis: Long,
     ) {
@@ -39,7 +39,7 @@
     }
 
     /** Whether requests with keys may run. */
-    public fun holds(
+    public fun isFresh(
         steadyNanos: Long,
         wallMillis: Long,
     ): Boolean = age(steadyNanos, wallMillis) < lifetime
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointPlacement.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointPlacement.kt
@@ -15,31 +15,31 @@
 ) {
     /** The best of [candidates], or null if there is none. */
     public fun choose(
-        candidates: List<EndpointBelief>,
-        demand: PlacingDemand,
+        candidates: List<EndpointView>,
+        demand: PlacementRequest,
         now: Long,
-    ): EndpointBelief? {
-        val admitted = candidates.filter { it.cold.admits(now) && !it.health.refuses(now) }
+    ): EndpointView? {
+        val admitted = candidates.filter { it.warmUp.admits(now) && !it.health.refuses(now) }
         val homeOfPart = homeOf(candidates, demand)
         return admitted.minByOrNull { cost(it, it === homeOfPart, demand, now) }
     }
 
     private fun homeOf(
-        candidates: List<EndpointBelief>,
-        demand: PlacingDemand,
-    ): EndpointBelief? {
+        candidates: List<EndpointView>,
+        demand: PlacementRequest,
+    ): EndpointView? {
         val affinity = demand.affinity ?: return null
         return RendezvousHash.choose(affinity, candidates, 1) { it.listing.id.value }.firstOrNull()
     }
 
     private fun cost(
-        endpoint: EndpointBelief,
+        endpoint: EndpointView,
         isHome: Boolean,
-        demand: PlacingDemand,
+        demand: PlacementRequest,
         now: Long,
     ): Double {
         val distance = if (endpoint.listing.failureDomain == home) 0.0 else OTHER_DOMAIN_MILLIS
-        val coldness = if (endpoint.cold.cold(now)) COLD_MILLIS else 0.0
+        val coldness = if (endpoint.warmUp.isCold(now)) COLD_MILLIS else 0.0
         val load = endpoint.requests(now).toDouble() / endpoint.listing.slots
         val unreliability = endpoint.failureRate.at(now) * FAILURE_MILLIS
         return distance + coldness + unreliability +
@@ -47,25 +47,29 @@
     }
 
     private fun reading(
-        endpoint: EndpointBelief,
+        endpoint: EndpointView,
         isHome: Boolean,
-        demand: PlacingDemand,
+        demand: PlacementRequest,
         now: Long,
     ): Double {
         val shared = demand.promptParts.dropLast(1)
-        val held = endpoint.cache.tokensHeld(demand.model, demand.promptParts)
+        val held = endpoint.prefixCache.cachedTokens(demand.model, demand.promptParts)
         val assumed = if (isHome) maxOf(held, shared.sumOf { it.tokens }) else held
         val unread = (demand.promptTokens - assumed).coerceAtLeast(0)
         val fullness = endpoint.requests(now).toDouble() / endpoint.listing.slots
         val queued = endpoint.waiting(now) * WAITING_MILLIS
         val crowd = if (fullness > FULL) (fullness - FULL) * OVERFULL_MILLIS else fullness * CROWD_MILLIS
-        return endpoint.speed.millis(demand.model, unread) + endpoint.waitingMillis(now) + queued + crowd
+        return endpoint.prefillSpeed.estimateMillis(
+            demand.model,
+            unread,
+        ) + endpoint.prefillBacklogMillis(now) + queued +
+            crowd
     }
 
     /** Milliseconds until the best of [candidates] is expected to begin its answer; infinite without any. */
-    public fun expectedMillis(
-        candidates: List<EndpointBelief>,
-        demand: PlacingDemand,
+    public fun expectedFirstTokenMillis(
+        candidates: List<EndpointView>,
+        demand: PlacementRequest,
         now: Long,
     ): Double {
         val homeOfPart = homeOf(candidates, demand)
@@ -73,10 +77,10 @@
     }
 
     /** Milliseconds of reading that wait at one of [candidates] on average; 0 without any. */
-    public fun backlogMillis(
-        candidates: List<EndpointBelief>,
+    public fun averagePrefillBacklogMillis(
+        candidates: List<EndpointView>,
         now: Long,
-    ): Double = if (candidates.isEmpty()) 0.0 else candidates.sumOf { it.waitingMillis(now) } / candidates.size
+    ): Double = if (candidates.isEmpty()) 0.0 else candidates.sumOf { it.prefillBacklogMillis(now) } / candidates.size
 
     private companion object {
         /** Two ways between failure domains, and what the bytes cost. */
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointBelief.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointView.kt
@@ -11,21 +11,21 @@
  * several threads.
  *
  * @property listing as last seen in the platform's list.
- * @property speed shared by the endpoints of a service.
+ * @property prefillSpeed shared by the endpoints of a service.
  */
-public class EndpointBelief(
+public class EndpointView(
     listing: EndpointListing,
     group: EjectionGroup,
     memoryTokens: Long,
-    public val speed: EngineSpeed,
+    public val prefillSpeed: PrefillSpeed,
     now: Long,
 ) {
     public var listing: EndpointListing = listing
         private set
     public val health: EndpointHealth = EndpointHealth(group)
-    public val cold: ColdGate = ColdGate(now)
-    public val cache: PromptCache = PromptCache(memoryTokens)
-    public val remoteReading: RemoteReading = RemoteReading()
+    public val warmUp: WarmUpRateLimiter = WarmUpRateLimiter(now)
+    public val prefixCache: PrefixCacheView = PrefixCacheView(memoryTokens)
+    public val remotePrefills: RemotePrefills = RemotePrefills()
 
     public val failureRate: FailureRate = FailureRate()
 
@@ -49,7 +49,7 @@
         next: EndpointListing,
         now: Long,
     ) {
-        if (next.bornMillis != listing.bornMillis) cache.clear()
+        if (next.bornMillis != listing.bornMillis) prefixCache.clear()
         listing = next
         noteCold(next, now)
     }
@@ -58,31 +58,31 @@
         listing: EndpointListing,
         now: Long,
     ) {
-        if (listing.coldLeft.isPositive()) cold.coldUntil(now + listing.coldLeft.inWholeNanoseconds)
+        if (listing.coldLeft.isPositive()) warmUp.extendTo(now + listing.coldLeft.inWholeNanoseconds)
     }
 
-    public fun started(reading: Double) {
+    public fun recordStart(reading: Double) {
         inFlight++
         readingMillis += reading
     }
 
     /** The first event has come: nothing is left to read. */
-    public fun readingEnded(reading: Double) {
+    public fun recordPrefillEnd(reading: Double) {
         readingMillis = (readingMillis - reading).coerceAtLeast(0.0)
     }
 
-    public fun ended() {
+    public fun recordEnd() {
         inFlight--
     }
 
     /** Notes a good answer. */
-    public fun succeeded(now: Long) {
+    public fun recordSuccess(now: Long) {
         health.recordSuccess()
         failureRate.record(failed = false, now)
     }
 
     /** Notes a failure; true when it ejected the endpoint. */
-    public fun failed(
+    public fun recordFailure(
         now: Long,
         random: UniformRandomProvider,
     ): Boolean {
@@ -91,7 +91,7 @@
     }
 
     /** Notes that no connection could be opened; true when it ejected the endpoint. */
-    public fun unreachable(
+    public fun recordUnreachable(
         now: Long,
         random: UniformRandomProvider,
     ): Boolean {
@@ -100,9 +100,9 @@
     }
 
     /** Milliseconds of reading that wait at the endpoint, this router's and what others have announced. */
-    public fun waitingMillis(now: Long): Double = readingMillis + remoteReading.millis(now)
+    public fun prefillBacklogMillis(now: Long): Double = readingMillis + remotePrefills.totalMillis(now)
 
-    public fun reported(
+    public fun recordLoad(
         load: ReportedLoad,
         now: Long,
     ) {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ModelSizing.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ModelCascade.kt
@@ -13,7 +13,7 @@
  * ten small ones, and once all engines are busy it makes the answers of others late. Then another model is asked only
  * where it can begin within a part of the time left that grows with the doubt in the answer at hand; the rest keep it.
  */
-public class ModelSizing(
+public class ModelCascade(
     private val leastConfidence: Int = LEAST_CONFIDENCE,
     private val nextConfidence: Int = NEXT_CONFIDENCE,
 ) {
@@ -21,7 +21,7 @@
      * The first model to ask. Where the largest one can begin within [objectiveMillis] only if it is asked at once, it is:
      * such a prompt is among the largest, and a late answer to it costs more than the model.
      */
-    public fun first(
+    public fun firstModel(
         models: List<String>,
         objectiveMillis: Long,
         expectedMillis: (String) -> Double,
@@ -39,11 +39,11 @@
     }
 
     /** The model to ask instead of going on with an answer of [model], or null to go on. */
-    public fun instead(
+    public fun escalationTarget(
         models: List<String>,
         model: String,
         confidence: Int?,
-        outlook: SizingOutlook,
+        outlook: EscalationConditions,
     ): String? {
         if (model == models.last() || confidence == null || confidence >= leastConfidence) return null
         val next = models[models.indexOf(model) + 1]
@@ -54,9 +54,10 @@
     private fun prefersNext(
         models: List<String>,
         next: String,
-        outlook: SizingOutlook,
+        outlook: EscalationConditions,
     ): Boolean =
-        outlook.expectedMillis(models.last()) >= outlook.leftMillis && outlook.expectedMillis(next) < outlook.leftMillis
+        outlook.expectedFirstTokenMillis(models.last()) >= outlook.remainingMillis &&
+            outlook.expectedFirstTokenMillis(next) < outlook.remainingMillis
 
     /**
      * Whether an answer of [model] is likely worth more than the one at hand: a late answer is worth little beside one that
@@ -65,11 +66,12 @@
     private fun worthWaitingFor(
         model: String,
         confidence: Int,
-        outlook: SizingOutlook,
+        outlook: EscalationConditions,
     ): Boolean {
-        val expected = outlook.expectedMillis(model)
-        if (expected >= outlook.leftMillis && confidence >= HOPELESS_CONFIDENCE) return false
-        return outlook.backlogMillis < CALM_BACKLOG_MILLIS || expected < outlook.leftMillis * soon(confidence)
+        val expected = outlook.expectedFirstTokenMillis(model)
+        if (expected >= outlook.remainingMillis && confidence >= HOPELESS_CONFIDENCE) return false
+        return outlook.prefillBacklogMillis < CALM_BACKLOG_MILLIS ||
+            expected < outlook.remainingMillis * soon(confidence)
     }
 
     private fun soon(confidence: Int): Double = LEAST_SOON + (MOST_SOON - LEAST_SOON) * (1 - confidence / FULL_DOUBT)
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PlacingDemand.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PlacementRequest.kt
@@ -8,7 +8,7 @@
  * @property model empty for plain services.
  * @property affinity requests with the same text share parts of their prompts; null if nothing is shared.
  */
-public data class PlacingDemand(
+public data class PlacementRequest(
     public val model: String,
     public val promptTokens: Int,
     public val promptParts: List<PromptPart>,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EngineSpeed.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PrefillSpeed.kt
@@ -5,17 +5,17 @@
  * token that had to be read. One estimate for each model, since larger ones are slower. Not safe for use from several
  * threads.
  */
-public class EngineSpeed {
+public class PrefillSpeed {
     private val millisPerToken = HashMap<String, Double>()
 
     /** Milliseconds that [model] takes to read [tokens]. */
-    public fun millis(
+    public fun estimateMillis(
         model: String,
         tokens: Int,
     ): Double = weighted(tokens) * (millisPerToken[model] ?: UNKNOWN_MILLIS_PER_TOKEN)
 
     /** Notes that [tokens] unread tokens took [millis] to the first event. */
-    public fun observed(
+    public fun record(
         model: String,
         tokens: Int,
         millis: Double,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PromptCache.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PrefixCacheView.kt
@@ -7,8 +7,8 @@
  * count only while all parts before them are kept too. The least recently used ones yield. Not safe for use from several
  * threads.
  */
-public class PromptCache(
-    private val mostTokens: Long,
+public class PrefixCacheView(
+    private val maximumTokens: Long,
 ) {
     private data class Entry(
         val model: String,
@@ -19,7 +19,7 @@
     private var held = 0L
 
     /** Tokens at the head of [parts] that need not be read again. */
-    public fun tokensHeld(
+    public fun cachedTokens(
         model: String,
         parts: List<PromptPart>,
     ): Int {
@@ -32,7 +32,7 @@
     }
 
     /** Notes that the endpoint has read [parts]. */
-    public fun read(
+    public fun recordPrefill(
         model: String,
         parts: List<PromptPart>,
     ) {
@@ -42,7 +42,7 @@
             held += part.tokens - (before ?: 0)
         }
         val oldest = tokens.entries.iterator()
-        while (held > mostTokens && oldest.hasNext()) {
+        while (held > maximumTokens && oldest.hasNext()) {
             held -= oldest.next().value
             oldest.remove()
         }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RemoteReading.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RemotePrefills.kt
@@ -4,7 +4,7 @@
  * Prompts that other routers have announced to be read at one endpoint. An announcement ends with the one that revokes
  * it, or by itself if that is lost. Not safe for use from several threads.
  */
-public class RemoteReading {
+public class RemotePrefills {
     private class Entry(
         val millis: Double,
         val until: Long,
@@ -13,7 +13,7 @@
     private val entries = HashMap<String, Entry>()
 
     /** Notes that the attempt [key] will keep the endpoint reading for [millis]. */
-    public fun began(
+    public fun add(
         key: String,
         millis: Double,
         now: Long,
@@ -24,12 +24,12 @@
     }
 
     /** Notes that the attempt [key] no longer reads. */
-    public fun ended(key: String) {
+    public fun remove(key: String) {
         entries.remove(key)
     }
 
     /** Milliseconds of reading that wait at the endpoint. */
-    public fun millis(now: Long): Double {
+    public fun totalMillis(now: Long): Double {
         if (entries.isEmpty()) return 0.0
         drop(now)
         return entries.values.sumOf { it.millis }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RollOutPlan.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RollOutSchedule.kt
@@ -9,18 +9,18 @@
  * running sessions then, and a bad version must get few requests. If nothing speaks against it the part grows to all, early
  * enough that what runs at the old endpoints ends before they are stopped.
  *
- * @property within time that the operator gives the move.
+ * @property timeLimit time that the operator gives the move.
  */
-public class RollOutPlan(
-    private val within: Duration,
+public class RollOutSchedule(
+    private val timeLimit: Duration,
 ) {
     init {
-        require(within.isPositive()) { "within must be positive, got $within" }
+        require(timeLimit.isPositive()) { "timeLimit must be positive, got $timeLimit" }
     }
 
     /** Part of the sessions that go to the new version after [elapsed], from 0 to 1. */
     public fun share(elapsed: Duration): Double {
-        val passed = elapsed / within
+        val passed = elapsed / timeLimit
         return when {
             passed < GROWTH_BEGINS -> {
                 TRIAL_SHARE
@@ -38,10 +38,10 @@
     }
 
     /** Whether sessions may change to the new version after [elapsed]. */
-    public fun mayMove(elapsed: Duration): Boolean = elapsed / within >= GROWTH_BEGINS
+    public fun allowsSessionMoves(elapsed: Duration): Boolean = elapsed / timeLimit >= GROWTH_BEGINS
 
     /** Whether the old endpoints are no longer needed after [elapsed]. */
-    public fun complete(elapsed: Duration): Boolean = elapsed / within >= COMPLETE
+    public fun isComplete(elapsed: Duration): Boolean = elapsed / timeLimit >= COMPLETE
 
     private companion object {
         /** Enough requests to find a version that fails often, well below what a bad one may get. */
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/SessionVersions.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/SessionVersions.kt
@@ -26,7 +26,7 @@
         }
 
     /** Notes that a request of [session] begins to run on [version] at [now]. */
-    public fun began(
+    public fun recordStart(
         session: String,
         version: String,
         now: Long,
@@ -37,7 +37,7 @@
     }
 
     /** Notes that another router runs a request of [session] on [version], or has done so until [now]. */
-    public fun heard(
+    public fun recordRemoteRun(
         session: String,
         version: String,
         running: Boolean,
@@ -49,13 +49,13 @@
     }
 
     /** Sessions that count at [now] and whether a run of theirs goes on here, for each its version. */
-    public fun current(now: Long): List<CurrentSession> =
+    public fun activeSessions(now: Long): List<ActiveSession> =
         sessions.filterValues { it.keptAt(now) }.map { (id, held) ->
-            CurrentSession(id, held.version, held.running > 0)
+            ActiveSession(id, held.version, held.running > 0)
         }
 
     /** Notes that a run of [session] has ended at [now]. */
-    public fun ended(
+    public fun recordEnd(
         session: String,
         now: Long,
     ) {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RepeatWindow.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudget.kt
@@ -11,7 +11,7 @@
  *
  * @property window the span over which repeats are counted.
  */
-public class RepeatWindow(
+public class SlidingRetryBudget(
     private val window: Duration,
     private val ratio: Double,
     private val slack: Double,
@@ -32,26 +32,26 @@
     }
 
     /** Notes a request of a caller at [now]. */
-    public fun requested(now: Long) {
+    public fun recordRequest(now: Long) {
         slotAt(now).requests++
     }
 
-    /** Repeats that may be spent at [now] by a use that may take [part] of all. */
+    /** Repeats that may be spent at [now] by a use that may take [share] of all. */
     public fun available(
         now: Long,
-        part: Double = 1.0,
+        share: Double = 1.0,
     ): Double {
         val period = now.floorDiv(slotNanos)
         val counted = slots.filter { period - it.period in 0 until SLOTS }
-        return part * (ratio * counted.sumOf { it.requests } + slack) - counted.sumOf { it.repeats }
+        return share * (ratio * counted.sumOf { it.requests } + slack) - counted.sumOf { it.repeats }
     }
 
-    /** Spends one repeat at [now] for a use that may take [part] of all; false if none is left for it. */
+    /** Spends one repeat at [now] for a use that may take [share] of all; false if none is left for it. */
     public fun trySpend(
         now: Long,
-        part: Double = 1.0,
+        share: Double = 1.0,
     ): Boolean {
-        if (available(now, part) < 1) return false
+        if (available(now, share) < 1) return false
         slotAt(now).repeats++
         return true
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/VersionChoice.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/VersionConstraint.kt
@@ -1,22 +1,22 @@
 package dev.almondhaven.decision.traffic
 
 /** Which of a service's versions a request may run on. */
-public sealed interface VersionChoice {
+public sealed interface VersionConstraint {
     /** Whether an endpoint of [version] may run the request. */
     public fun allows(version: String): Boolean
 
     /** Whether a request may run on another version as long as no endpoint of an allowed one is listed. */
-    public val bindsOnlyIfListed: Boolean get() = true
+    public val allowsFallback: Boolean get() = true
 
     /** Any version. */
-    public data object Any : VersionChoice {
+    public data object Any : VersionConstraint {
         override fun allows(version: String): Boolean = true
     }
 
     /** Only [version]. */
     public data class Only(
         val version: String,
-    ) : VersionChoice {
+    ) : VersionConstraint {
         override fun allows(version: String): Boolean = version == this.version
     }
 
@@ -24,8 +24,8 @@
     public data class Except(
         val version: String,
         val strict: Boolean = false,
-    ) : VersionChoice {
-        override val bindsOnlyIfListed: Boolean get() = !strict
+    ) : VersionConstraint {
+        override val allowsFallback: Boolean get() = !strict
 
         override fun allows(version: String): Boolean = version != this.version
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ColdGate.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/WarmUpRateLimiter.kt
@@ -4,25 +4,25 @@
  * This router's part of the requests that one cold endpoint bears. The bound is of all routers together, so each takes
  * an equal part; a router that overestimates their number only sends less. Not safe for use from several threads.
  */
-public class ColdGate(
+public class WarmUpRateLimiter(
     now: Long,
 ) {
     private var coldUntil = now
     private var nextAt = now
 
     /** Treats the endpoint as cold until [until], if that is later than what is known. */
-    public fun coldUntil(until: Long) {
+    public fun extendTo(until: Long) {
         if (until - coldUntil > 0) coldUntil = until
     }
 
     /** Whether the endpoint is cold at [now]. */
-    public fun cold(now: Long): Boolean = coldUntil - now > 0
+    public fun isCold(now: Long): Boolean = coldUntil - now > 0
 
     /** Whether a request may be sent at [now]. */
-    public fun admits(now: Long): Boolean = !cold(now) || now - nextAt >= 0
+    public fun admits(now: Long): Boolean = !isCold(now) || now - nextAt >= 0
 
     /** Notes a request sent at [now], of [perSecond] that all routers may send and [routers] that share them. */
-    public fun sent(
+    public fun recordSent(
         now: Long,
         perSecond: Double,
         routers: Int,
--- a/decision/src/test/kotlin/dev/almondhaven/decision/choice/EvidencePoolTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/choice/EvidencePoolTest.kt
@@ -84,7 +84,7 @@
         fun `repeats a change a few times and then rests`() {
             val pool = pool(cell(1) to tally(4))
 
-            expectThat((1..6).map { pool.nextToTell(10).size }).isEqualTo(listOf(1, 1, 1, 1, 0, 0))
+            expectThat((1..6).map { pool.nextToGossip(10).size }).isEqualTo(listOf(1, 1, 1, 1, 0, 0))
         }
 
         @Test
--- a/decision/src/test/kotlin/dev/almondhaven/decision/endpoint/EndpointHealthTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/endpoint/EndpointHealthTest.kt
@@ -68,7 +68,7 @@
                 checkAll(PropTestConfig(seed = 49), Arb.int(1..40), Arb.list(Arb.int(0..39), 0..400)) { size, failing ->
                     val members = group(size)
                     failing.forEach { members[it % size].recordFailure(0, random) }
-                    val ejected = members.count { it.ejected }
+                    val ejected = members.count { it.isEjected }
 
                     expectThat(ejected).isLessThan(size)
                     expectThat(ejected <= size * 0.7).isEqualTo(true)
--- a/decision/src/test/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiterTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiterTest.kt
@@ -58,7 +58,7 @@
             reportAt(0.seconds, report("a", uptime = 60.seconds))
             limitAt(0.seconds)
 
-            expectThat(state.cold).isFalse()
+            expectThat(state.isCold).isFalse()
         }
 
         @Test
@@ -113,8 +113,8 @@
         @Test
         fun `fades towards the pool's average`() {
             reportAt(0.seconds, report("a", uptime = 60.seconds, running = 0))
-            val fresh = state.load(now = 0, usualOthers = 8.0)
-            val stale = state.load(20.seconds.inWholeNanoseconds, usualOthers = 8.0)
+            val fresh = state.load(now = 0, averageOtherRequests = 8.0)
+            val stale = state.load(20.seconds.inWholeNanoseconds, averageOtherRequests = 8.0)
 
             expectThat(listOf(fresh, (stale * 100).toInt() / 100.0)).containsExactly(0.0, 0.49)
         }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/rollout/QuarantinePolicyTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/rollout/QuarantinePolicyTest.kt
@@ -18,7 +18,7 @@
         patience: Int = 300,
         limits: TrialLimits = TrialLimits(),
     ): Int {
-        val scene = TrialScene(seed, limits)
+        val scene = TrialSimulation(seed, limits)
         repeat(patience) { second ->
             scene.serve(scene.old, good)
             scene.serve(scene.new, bad)
@@ -55,8 +55,8 @@
 
     @Nested
     inner class `a version in service` {
-        private fun settled(seed: Long): TrialScene {
-            val scene = TrialScene(seed)
+        private fun settled(seed: Long): TrialSimulation {
+            val scene = TrialSimulation(seed)
             repeat(30) {
                 scene.serve(scene.old, good, count = 30)
                 scene.serve(scene.other, good, count = 30)
--- a/decision/src/test/kotlin/dev/almondhaven/decision/rollout/QuarantineSetTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/rollout/QuarantineSetTest.kt
@@ -71,16 +71,16 @@
             val set = QuarantineSet.of(listOf(quarantine(1)))
             val redefined = versions[1].copy(definedIn = Generation(4))
 
-            expectThat(set.holds(versions[1])).isTrue()
-            expectThat(set.holds(redefined)).isFalse()
-            expectThat(set.current { Generation(4) }.isEmpty).isTrue()
+            expectThat(set.contains(versions[1])).isTrue()
+            expectThat(set.contains(redefined)).isFalse()
+            expectThat(set.withoutSuperseded { Generation(4) }.isEmpty).isTrue()
         }
 
         @Test
         fun `of a note that is still on its way is kept`() {
             val set = QuarantineSet.of(listOf(quarantine(1)))
 
-            expectThat(set.current { Generation(2) }).isEqualTo(set)
+            expectThat(set.withoutSuperseded { Generation(2) }).isEqualTo(set)
         }
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/rollout/RollOutStageTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/rollout/RollOutAssignmentTest.kt
@@ -11,7 +11,7 @@
 import strikt.assertions.isGreaterThan
 import strikt.assertions.isLessThan
 
-class RollOutStageTest {
+class RollOutAssignmentTest {
     private val steps = listOf(RollOutStep(0.1, 10), RollOutStep(0.5, 20))
     private val old = version("model")
     private val new = old.copy(version = VersionId("2"), rollOut = RollOut(old.version, startedAt = 1_000, steps))
@@ -21,14 +21,14 @@
     fun `goes through its stages and then takes all`() {
         val minutes = listOf(-1L, 0L, 9L, 10L, 29L, 30L)
 
-        expectThat(minutes.map { RollOutStage.share(new.rollOut!!, 1_000 + it * 60_000) })
+        expectThat(minutes.map { RollOutAssignment.share(new.rollOut!!, 1_000 + it * 60_000) })
             .containsExactly(0.0, 0.1, 0.1, 0.5, 0.5, 1.0)
     }
 
     @Test
     fun `takes about its share of the sessions, and keeps those it has`() {
-        val first = keys.filter { RollOutStage.takes(new, it, 2_000) }
-        val second = keys.filter { RollOutStage.takes(new, it, 1_000 + 15 * 60_000) }
+        val first = keys.filter { RollOutAssignment.includes(new, it, 2_000) }
+        val second = keys.filter { RollOutAssignment.includes(new, it, 1_000 + 15 * 60_000) }
 
         expectThat(first.size).isGreaterThan(140).isLessThan(260)
         expectThat(second.containsAll(first)).isEqualTo(true)
@@ -36,11 +36,11 @@
 
     @Test
     fun `leaves each session one of the two versions`() {
-        expectThat(keys.map { RollOutStage.narrow(listOf(old, new), it, 2_000).size }.toSet()).containsExactly(1)
+        expectThat(keys.map { RollOutAssignment.eligible(listOf(old, new), it, 2_000).size }.toSet()).containsExactly(1)
     }
 
     @Test
     fun `leaves the new version to an organisation that may not use the old one`() {
-        expectThat(RollOutStage.narrow(listOf(new), keys.first(), 0)).containsExactly(new)
+        expectThat(RollOutAssignment.eligible(listOf(new), keys.first(), 0)).containsExactly(new)
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/rollout/TrialScene.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/rollout/TrialSimulation.kt
@@ -21,7 +21,7 @@
 )
 
 /** A roll-out of `new` against `old` in virtual time, with a policy that looks after every second. */
-internal class TrialScene(
+internal class TrialSimulation(
     seed: Long,
     private val limits: TrialLimits = TrialLimits(),
 ) {
@@ -72,7 +72,7 @@
             quarantines =
                 quarantines.plus(it)
         }
-        return inService.filter { quarantines.holds(it) }.toSet()
+        return inService.filter { quarantines.contains(it) }.toSet()
     }
 
     /** What the quarantine of [version] rests on. */
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/RollOutEvidenceTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/CanaryComparisonTest.kt
@@ -8,7 +8,7 @@
 import strikt.api.expectThat
 import strikt.assertions.isLessThanOrEqualTo
 
-class RollOutEvidenceTest {
+class CanaryComparisonTest {
     private val draws = Arb.double(0.0, 1.0)
 
     /** Answers of the new version until it is found bad, at most [most]; the old version fails at [oldRate]. */
@@ -19,13 +19,13 @@
         seed: Long,
     ): Int? {
         val random = RandomSource.seeded(seed)
-        val evidence = RollOutEvidence()
+        val evidence = CanaryComparison()
 
         fun fails(rate: Double) = draws.sample(random).value < rate
         for (answer in 1..most) {
-            repeat(10) { evidence.record(ofNew = false, fails(oldRate)) }
-            evidence.record(ofNew = true, fails(newRate))
-            if (evidence.newIsBad()) return answer
+            repeat(10) { evidence.record(isCanary = false, fails(oldRate)) }
+            evidence.record(isCanary = true, fails(newRate))
+            if (evidence.isCanaryWorse()) return answer
         }
         return null
     }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/FreshnessProofTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/ConfigurationAgeTest.kt
@@ -7,35 +7,35 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-class FreshnessProofTest {
-    private val proof = FreshnessProof(lifetime = 4.seconds)
+class ConfigurationAgeTest {
+    private val proof = ConfigurationAge(lifetime = 4.seconds)
     private val second = 1_000_000_000L
 
     @Nested
     inner class `a proof` {
         @Test
         fun `does not hold before the first read`() {
-            expectThat(proof.holds(0, 0)).isEqualTo(false)
+            expectThat(proof.isFresh(0, 0)).isEqualTo(false)
             expectThat(proof.age(0, 0)).isEqualTo(Duration.INFINITE)
         }
 
         @Test
         fun `holds until its lifetime has passed`() {
-            proof.prove(10 * second, 1_000)
+            proof.confirm(10 * second, 1_000)
             expectThat(
-                listOf(13L, 14L).map { proof.holds(it * second, 1_000 + (it - 10) * 1_000) },
+                listOf(13L, 14L).map { proof.isFresh(it * second, 1_000 + (it - 10) * 1_000) },
             ).isEqualTo(listOf(true, false))
         }
 
         @Test
         fun `lapses while the process was suspended, though the steady clock stood still`() {
-            proof.prove(10 * second, 1_000)
-            expectThat(proof.holds(10 * second, wallMillis = 7_000)).isEqualTo(false)
+            proof.confirm(10 * second, 1_000)
+            expectThat(proof.isFresh(10 * second, wallMillis = 7_000)).isEqualTo(false)
         }
 
         @Test
         fun `is not made younger by a time of day that jumps back`() {
-            proof.prove(10 * second, 60_000)
+            proof.confirm(10 * second, 60_000)
             expectThat(proof.age(13 * second, wallMillis = 0)).isEqualTo(3.seconds)
         }
     }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/EndpointPlacementTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/EndpointPlacementTest.kt
@@ -18,7 +18,7 @@
 
 class EndpointPlacementTest {
     private val second = 1_000_000_000L
-    private val speed = EngineSpeed()
+    private val speed = PrefillSpeed()
     private val group = EjectionGroup(0.9)
     private val random = RandomSource.SPLIT_MIX_64.create(1L)
     private val placement = EndpointPlacement(FailureDomainId("here"))
@@ -26,7 +26,7 @@
     private fun endpoint(
         id: String,
         domain: String = "here",
-    ): EndpointBelief {
+    ): EndpointView {
         val address = "10.0.0.1:80"
         val listing =
             EndpointListing(
@@ -40,17 +40,17 @@
                 coldLeft = Duration.ZERO,
                 bornMillis = 1,
             )
-        return EndpointBelief(listing, group, memoryTokens = 100_000, speed, now = 0)
+        return EndpointView(listing, group, memoryTokens = 100_000, speed, now = 0)
     }
 
-    private val plain = PlacingDemand(model = "", promptTokens = 0, promptParts = emptyList(), affinity = null)
+    private val plain = PlacementRequest(model = "", promptTokens = 0, promptParts = emptyList(), affinity = null)
 
     private fun prompt(
         subject: String,
         tokens: Int = 4_000,
-    ): PlacingDemand {
+    ): PlacementRequest {
         val parts = listOf(PromptPart(subject, tokens - 100), PromptPart("own", 100))
-        return PlacingDemand("m", tokens, parts, affinity = "$subject/m")
+        return PlacementRequest("m", tokens, parts, affinity = "$subject/m")
     }
 
     @Nested
@@ -60,7 +60,7 @@
             val near = endpoint("near")
             val far = endpoint("far", domain = "there")
             expectThat(placement.choose(listOf(far, near), plain, 0)).isEqualTo(near)
-            repeat(4) { near.started(0.0) }
+            repeat(4) { near.recordStart(0.0) }
             expectThat(placement.choose(listOf(far, near), plain, 0)).isEqualTo(far)
         }
 
@@ -68,14 +68,14 @@
         fun `is not sent to an endpoint that fails part of its requests, until that has faded`() {
             val grey = endpoint("grey")
             val sound = endpoint("sound", domain = "there")
-            repeat(10) { if (it % 2 == 0) grey.failed(0, random) else grey.succeeded(0) }
+            repeat(10) { if (it % 2 == 0) grey.recordFailure(0, random) else grey.recordSuccess(0) }
             expectThat(placement.choose(listOf(grey, sound), plain, 0)).isEqualTo(sound)
             expectThat(placement.choose(listOf(grey, sound), plain, 30 * second)).isEqualTo(grey)
         }
 
         @Test
         fun `counts the requests that other routers have sent, as the endpoint reports them`() {
-            val busy = endpoint("busy").apply { reported(ReportedLoad(running = 8, waiting = 3, slots = 8), 0) }
+            val busy = endpoint("busy").apply { recordLoad(ReportedLoad(running = 8, waiting = 3, slots = 8), 0) }
             val free = endpoint("free", domain = "there")
             expectThat(placement.choose(listOf(busy, free), plain, 0)).isEqualTo(free)
             expectThat(placement.choose(listOf(busy, free), plain, 2 * second)).isEqualTo(busy)
@@ -100,16 +100,16 @@
         @Test
         fun `goes elsewhere while its engine reads a long prompt of another router`() {
             val home = placement.choose(engines, prompt("subject"), 0)!!
-            home.remoteReading.began("other", millis = 3_000.0, now = 0)
+            home.remotePrefills.add("other", millis = 3_000.0, now = 0)
             expectThat(placement.choose(engines, prompt("subject"), 0)).isNotEqualTo(home)
-            home.remoteReading.ended("other")
+            home.remotePrefills.remove("other")
             expectThat(placement.choose(engines, prompt("subject"), 0)).isEqualTo(home)
         }
 
         @Test
         fun `goes elsewhere while its engine is set aside`() {
             val home = placement.choose(engines, prompt("subject"), 0)!!
-            home.unreachable(0, random)
+            home.recordUnreachable(0, random)
             expectThat(placement.choose(engines, prompt("subject"), 0)).isNotEqualTo(home)
         }
     }
@@ -118,16 +118,18 @@
     inner class `an announced reading` {
         @Test
         fun `ends by itself if its end is lost`() {
-            val reading = RemoteReading()
-            reading.began("a", millis = 1_000.0, now = 0)
-            expectThat(listOf(0L, 2 * second, 3 * second).map(reading::millis)).isEqualTo(listOf(1_000.0, 1_000.0, 0.0))
+            val reading = RemotePrefills()
+            reading.add("a", millis = 1_000.0, now = 0)
+            expectThat(
+                listOf(0L, 2 * second, 3 * second).map(reading::totalMillis),
+            ).isEqualTo(listOf(1_000.0, 1_000.0, 0.0))
         }
 
         @Test
         fun `that no prompt can cause is ignored`() {
-            val reading = RemoteReading()
-            listOf(-5.0, 1e9, Double.NaN).forEach { reading.began("a", it, 0) }
-            expectThat(reading.millis(0)).isEqualTo(0.0)
+            val reading = RemotePrefills()
+            listOf(-5.0, 1e9, Double.NaN).forEach { reading.add("a", it, 0) }
+            expectThat(reading.totalMillis(0)).isEqualTo(0.0)
         }
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/ModelSizingTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/ModelCascadeTest.kt
@@ -5,8 +5,8 @@
 import strikt.api.expectThat
 import strikt.assertions.isEqualTo
 
-class ModelSizingTest {
-    private val sizing = ModelSizing()
+class ModelCascadeTest {
+    private val sizing = ModelCascade()
     private val models = listOf("small", "middle", "large")
 
     private fun instead(
@@ -15,14 +15,23 @@
         late: Set<String> = emptySet(),
         backlogMillis: Double = 0.0,
     ): String? {
-        val outlook = SizingOutlook(leftMillis = 1_000.0, backlogMillis) { if (it in late) 2_000.0 else backlogMillis }
-        return sizing.instead(models, model, confidence, outlook)
+        val outlook =
+            EscalationConditions(remainingMillis = 1_000.0, backlogMillis) {
+                if (it in
+                    late
+                ) {
+                    2_000.0
+                } else {
+                    backlogMillis
+                }
+            }
+        return sizing.escalationTarget(models, model, confidence, outlook)
     }
 
     @Nested
     inner class `the first model` {
         private fun first(largeMillis: Double) =
-            sizing.first(models, objectiveMillis = 3_000) { if (it == "large") largeMillis else largeMillis / 10 }
+            sizing.firstModel(models, objectiveMillis = 3_000) { if (it == "large") largeMillis else largeMillis / 10 }
 
         @Test
         fun `is the small one, unless only the large one asked at once would be in time`() {
@@ -76,8 +85,16 @@
         @Test
         fun `gives way to the middle model where the large one would take too long`() {
             fun outlook(large: Double) =
-                SizingOutlook(leftMillis = 1_000.0, backlogMillis = 400.0) { if (it == "large") large else 500.0 }
-            expectThat(listOf(850.0, 880.0, 950.0).map { sizing.instead(models, "small", 5, outlook(it)) })
+                EscalationConditions(remainingMillis = 1_000.0, prefillBacklogMillis = 400.0) {
+                    if (it ==
+                        "large"
+                    ) {
+                        large
+                    } else {
+                        500.0
+                    }
+                }
+            expectThat(listOf(850.0, 880.0, 950.0).map { sizing.escalationTarget(models, "small", 5, outlook(it)) })
                 .isEqualTo(listOf("large", "middle", "middle"))
         }
 
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/RollOutPlanTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/RollOutScheduleTest.kt
@@ -8,8 +8,8 @@
 import strikt.assertions.isLessThanOrEqualTo
 import kotlin.time.Duration.Companion.seconds
 
-class RollOutPlanTest {
-    private val plan = RollOutPlan(within = 20.seconds)
+class RollOutScheduleTest {
+    private val plan = RollOutSchedule(timeLimit = 20.seconds)
 
     @Nested
     inner class `a move of 20 seconds` {
@@ -20,7 +20,7 @@
 
         @Test
         fun `moves no session in the first half`() {
-            expectThat((0..10).map { plan.mayMove(it.seconds) }).all { isEqualTo(false) }
+            expectThat((0..10).map { plan.allowsSessionMoves(it.seconds) }).all { isEqualTo(false) }
         }
 
         @Test
@@ -32,7 +32,7 @@
         @Test
         fun `gives all sessions to the new version seconds before it ends`() {
             expectThat(plan.share(14.seconds)).isEqualTo(1.0)
-            expectThat(listOf(17, 18).map { plan.complete(it.seconds) }).isEqualTo(listOf(false, true))
+            expectThat(listOf(17, 18).map { plan.isComplete(it.seconds) }).isEqualTo(listOf(false, true))
         }
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/RepeatWindowTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudgetTest.kt
@@ -16,17 +16,17 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class RepeatWindowTest {
+class SlidingRetryBudgetTest {
     private fun at(millis: Int): Long = millis.milliseconds.inWholeNanoseconds
 
     @Nested
     inner class `a window` {
-        private val budget = RepeatWindow(10.seconds, ratio = 0.5, slack = 2.0)
+        private val budget = SlidingRetryBudget(10.seconds, ratio = 0.5, slack = 2.0)
 
         @Test
         fun `gives the slack before any request, and a part of each request afterwards`() {
             val before = List(3) { budget.trySpend(at(0)) }
-            repeat(4) { budget.requested(at(100)) }
+            repeat(4) { budget.recordRequest(at(100)) }
             val after = List(3) { budget.trySpend(at(200)) }
 
             expectThat(before + after).isEqualTo(listOf(true, true, false, true, true, false))
@@ -34,8 +34,8 @@
 
         @Test
         fun `gives a use only its part, so that the rest is left for others`() {
-            repeat(16) { budget.requested(at(0)) }
-            val larger = List(9) { budget.trySpend(at(100), part = 0.8) }
+            repeat(16) { budget.recordRequest(at(0)) }
+            val larger = List(9) { budget.trySpend(at(100), share = 0.8) }
             val failed = List(3) { budget.trySpend(at(100)) }
 
             expectThat(larger.count { it } to failed).isEqualTo(8 to listOf(true, true, false))
@@ -56,14 +56,14 @@
             val events = Arb.list(Arb.pair(Arb.int(0..400), Arb.boolean()), 1..200)
             runBlocking {
                 checkAll(500, events) { steps ->
-                    val budget = RepeatWindow(10.seconds, ratio = 0.7, slack = 3.0)
+                    val budget = SlidingRetryBudget(10.seconds, ratio = 0.7, slack = 3.0)
                     val requests = ArrayList<Int>()
                     val repeats = ArrayList<Int>()
                     var now = 0
                     steps.forEach { (pause, isRequest) ->
                         now += pause
                         if (isRequest) {
-                            budget.requested(at(now))
+                            budget.recordRequest(at(now))
                             requests += now
                         } else if (budget.trySpend(at(now))) {
                             repeats += now
@@ -85,16 +85,16 @@
 
         @Test
         fun `is served from what calm seconds have earned, where a small store runs dry`() {
-            val window = RepeatWindow(10.seconds, ratio = 0.81, slack = 5.0)
+            val window = SlidingRetryBudget(10.seconds, ratio = 0.81, slack = 5.0)
             val store = RetryBudget(earnedPerSuccess = 0.81, capacity = 5)
             (0 until 10_000 step 125).forEach {
-                window.requested(at(it))
+                window.recordRequest(at(it))
                 store.recordSuccess()
             }
 
             expectThat(
                 listOf(
-                    served { window.trySpend(it, part = 0.8) },
+                    served { window.trySpend(it, share = 0.8) },
                     served {
                         store.available >= 3 &&
                             store.tryRetry()
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/ColdGateTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/WarmUpRateLimiterTest.kt
@@ -6,7 +6,7 @@
 import strikt.assertions.isEqualTo
 import strikt.assertions.isLessThanOrEqualTo
 
-class ColdGateTest {
+class WarmUpRateLimiterTest {
     private val milli = 1_000_000L
     private val second = 1_000 * milli
 
@@ -15,11 +15,11 @@
         @Test
         fun `gets no more from all routers together than it bears`() {
             val routers = 5
-            val gates = List(routers) { ColdGate(0).apply { coldUntil(10 * second) } }
+            val gates = List(routers) { WarmUpRateLimiter(0).apply { extendTo(10 * second) } }
             var sent = 0
             for (now in 0 until 3 * second step milli) {
                 gates.filter { it.admits(now) }.forEach { gate ->
-                    gate.sent(now, perSecond = 13.0, routers)
+                    gate.recordSent(now, perSecond = 13.0, routers)
                     sent++
                 }
             }
@@ -29,16 +29,16 @@
 
         @Test
         fun `is free again when it is warm`() {
-            val gate = ColdGate(0).apply { coldUntil(second) }
-            gate.sent(0, perSecond = 0.5, routers = 1)
+            val gate = WarmUpRateLimiter(0).apply { extendTo(second) }
+            gate.recordSent(0, perSecond = 0.5, routers = 1)
             expectThat(listOf(0L, second - 1, second).map(gate::admits)).isEqualTo(listOf(false, false, true))
         }
 
         @Test
         fun `stays cold as long as the latest sign says`() {
-            val gate = ColdGate(0).apply { coldUntil(3 * second) }
-            gate.coldUntil(second)
-            expectThat(gate.cold(2 * second)).isEqualTo(true)
+            val gate = WarmUpRateLimiter(0).apply { extendTo(3 * second) }
+            gate.extendTo(second)
+            expectThat(gate.isCold(2 * second)).isEqualTo(true)
         }
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/CostMeasurement.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/CostMeasurement.kt
@@ -99,7 +99,7 @@
             var answer = step(plan.first, request, now)
             var served = plan.first
             val second = plan.escalation
-            if (second != null && answer.confidence < plan.acceptFrom) {
+            if (second != null && answer.confidence < plan.minimumConfidence) {
                 escalated++
                 answer = step(second, request, now)
                 served = second
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/ExposureMeasurement.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/ExposureMeasurement.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.catalogue.QualityPrior
 import dev.almondhaven.catalogue.RollOut
 import dev.almondhaven.catalogue.RollOutStep
-import dev.almondhaven.decision.rollout.RollOutStage
+import dev.almondhaven.decision.rollout.RollOutAssignment
 import dev.almondhaven.experiments.ExperimentReport
 import dev.almondhaven.model.Generation
 import dev.almondhaven.model.ModelId
@@ -61,7 +61,7 @@
     ): Int? =
         (0 until HOUR_SECONDS).firstOrNull { second ->
             val now = START_MILLIS + second * SECOND_MILLIS
-            val share = RollOutStage.share(checkNotNull(new.rollOut) { "no roll-out" }, now)
+            val share = RollOutAssignment.share(checkNotNull(new.rollOut) { "no roll-out" }, now)
             fleet.second(now, share, new, behaviour, old, good)
             fleet.allStopped(new)
         }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/SimulatedFleet.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/SimulatedFleet.kt
@@ -75,10 +75,10 @@
         private set
 
     /** Whether every router has [version] in quarantine. */
-    fun allStopped(version: ModelVersion): Boolean = routers.all { it.quarantines.holds(version) }
+    fun allStopped(version: ModelVersion): Boolean = routers.all { it.quarantines.contains(version) }
 
     /** Whether any router has [version] in quarantine. */
-    fun anyStopped(version: ModelVersion): Boolean = routers.any { it.quarantines.holds(version) }
+    fun anyStopped(version: ModelVersion): Boolean = routers.any { it.quarantines.contains(version) }
 
     /** One second at [now]: [share] of the requests want [version], the others run on [other]. */
     fun second(
@@ -92,7 +92,7 @@
     ) {
         repeat(size.requestsPerSecond) {
             val router = routers[random.nextInt(routers.size)]
-            if (random.nextDouble() < share && !router.quarantines.holds(version)) {
+            if (random.nextDouble() < share && !router.quarantines.contains(version)) {
                 exposed++
                 serve(router, version, behaviour, now)
             } else {
@@ -137,7 +137,9 @@
         router: SimulatedRouter,
         peer: SimulatedRouter,
     ) {
-        router.pool.nextToTell(CELLS_PER_MESSAGE).forEach { (cell, tally) -> peer.pool.merge(cell, Tally.parse(tally)) }
+        router.pool.nextToGossip(CELLS_PER_MESSAGE).forEach { (cell, tally) ->
+            peer.pool.merge(cell, Tally.parse(tally))
+        }
         peer.quarantines = peer.quarantines.merge(router.quarantines)
     }
 
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ChoicePolicy.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ChoicePolicy.kt
@@ -1,7 +1,6 @@
 package dev.almondhaven.experiments.serving
 
 import dev.almondhaven.catalogue.Endpoint
-import dev.almondhaven.decision.endpoint.ColdRamp
 import dev.almondhaven.decision.endpoint.EjectionGroup
 import dev.almondhaven.decision.endpoint.EndpointChoice
 import dev.almondhaven.decision.endpoint.EndpointChooser
@@ -10,8 +9,9 @@
 import dev.almondhaven.decision.endpoint.EndpointRequest
 import dev.almondhaven.decision.endpoint.EndpointSharers
 import dev.almondhaven.decision.endpoint.EndpointState
+import dev.almondhaven.decision.endpoint.EndpointSubsetting
 import dev.almondhaven.decision.endpoint.LoadReport
-import dev.almondhaven.decision.endpoint.RouterSubset
+import dev.almondhaven.decision.endpoint.SlowStart
 import dev.almondhaven.decision.membership.Member
 import dev.almondhaven.model.EndpointId
 import org.apache.commons.rng.UniformRandomProvider
@@ -57,10 +57,10 @@
     private val self: Member,
     private val sharers: List<EndpointSharers>,
     private val random: UniformRandomProvider,
-    private val ramp: ColdRamp,
+    private val ramp: SlowStart,
     private val chooser: EndpointChooser = EndpointChooser(),
 ) : ChoicePolicy {
-    private val subset = RouterSubset()
+    private val subset = EndpointSubsetting()
     private val group = EjectionGroup()
     private val routersOf = sharers.associate { it.endpoint.id to it.routers }
     private val limiters = HashMap<EndpointId, EndpointLimiter>()
@@ -111,7 +111,7 @@
 
     override fun tick(now: Long) {
         watched.forEach { limiters.getValue(it).update(now, routersOf.getValue(it)) }
-        pool.refresh()
+        pool.updateAverageOtherRequests()
     }
 
     override fun inService(endpoints: List<Endpoint>) {
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ServingRun.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ServingRun.kt
@@ -1,9 +1,9 @@
 package dev.almondhaven.experiments.serving
 
 import dev.almondhaven.catalogue.Endpoint
-import dev.almondhaven.decision.endpoint.ColdRamp
 import dev.almondhaven.decision.endpoint.EndpointChooser
-import dev.almondhaven.decision.endpoint.RouterSubset
+import dev.almondhaven.decision.endpoint.EndpointSubsetting
+import dev.almondhaven.decision.endpoint.SlowStart
 import dev.almondhaven.decision.membership.Member
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.FailureDomainId
@@ -62,7 +62,7 @@
         }
     private val members =
         List(plan.routers) { Member(RouterId("router-$it"), domainNames[it % plan.domains], "10.1.0.$it:81") }
-    private val sharers = RouterSubset().sharers(endpoints, members)
+    private val sharers = EndpointSubsetting().sharers(endpoints, members)
     private val policies = members.map(::policyOf)
     private val queues = policies.map { ArrayDeque<Request>() }
     private var reportRound = 0
@@ -146,16 +146,16 @@
                     member,
                     sharers,
                     random,
-                    ColdRamp(Endpoint.DEFAULT_SLOTS, 1.milliseconds),
+                    SlowStart(Endpoint.DEFAULT_SLOTS, 1.milliseconds),
                 )
             }
 
             PolicyKind.EARLY_SPREADING -> {
-                RouterPolicy(member, sharers, random, ColdRamp(), EndpointChooser(queueingFrom = EARLY))
+                RouterPolicy(member, sharers, random, SlowStart(), EndpointChooser(queueingThreshold = EARLY))
             }
 
             PolicyKind.ALMONDHAVEN -> {
-                RouterPolicy(member, sharers, random, ColdRamp())
+                RouterPolicy(member, sharers, random, SlowStart())
             }
         }
 
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/SimulatedEngine.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/SimulatedEngine.kt
@@ -1,8 +1,8 @@
 package dev.almondhaven.experiments.serving
 
 import dev.almondhaven.catalogue.Endpoint
-import dev.almondhaven.decision.endpoint.ColdRamp
 import dev.almondhaven.decision.endpoint.LoadReport
+import dev.almondhaven.decision.endpoint.SlowStart
 import org.apache.commons.rng.UniformRandomProvider
 import kotlin.math.ln
 import kotlin.time.Duration
@@ -112,7 +112,7 @@
         private const val LOAD_FACTOR = 0.75f
         private const val OVERLOADED_WHILE_COLD = 6.0
         private val WARM_SINCE: Duration = 3_600.seconds
-        private val BEARABLE = ColdRamp()
+        private val BEARABLE = SlowStart()
         val PREFILL = 120.milliseconds
         val CACHED_PREFILL = 20.milliseconds
         val MEAN_GENERATION = 900.milliseconds
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway
 
 import dev.almondhaven.decision.traffic.EndpointPlacement
-import dev.almondhaven.decision.traffic.ModelSizing
+import dev.almondhaven.decision.traffic.ModelCascade
 import dev.almondhaven.gateway.call.CallContext
 import dev.almondhaven.gateway.call.CallHandler
 import dev.almondhaven.gateway.call.Watchdog
@@ -57,7 +57,7 @@
             proof,
             rollOuts,
             EndpointPlacement(place.failureDomain),
-            ModelSizing(),
+            ModelCascade(),
             peers,
             Watchdog(loop),
             lifecycle,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
@@ -59,15 +59,22 @@
         val now = context.clock.nanos()
         val demand = exchange.selection.demandOf(call.demand, model ?: call.demand.model)
         if (call.demand.promptTokens > 0) {
-            unread = (demand.promptTokens - belief.cache.tokensHeld(demand.model, demand.promptParts)).coerceAtLeast(0)
-            reading = belief.speed.millis(demand.model, unread)
-            belief.cache.read(demand.model, demand.promptParts)
+            unread =
+                (
+                    demand.promptTokens -
+                        belief.prefixCache.cachedTokens(
+                            demand.model,
+                            demand.promptParts,
+                        )
+                ).coerceAtLeast(0)
+            reading = belief.prefillSpeed.estimateMillis(demand.model, unread)
+            belief.prefixCache.recordPrefill(demand.model, demand.promptParts)
         }
-        belief.started(reading)
+        belief.recordStart(reading)
         call.demand.session?.let { context.rollOuts.runBegins(call.service, it, listing.version) }
         context.peers.readingBegins(readingKey(), listing.id, reading)
-        if (belief.cold.cold(now)) {
-            belief.cold.sent(
+        if (belief.warmUp.isCold(now)) {
+            belief.warmUp.recordSent(
                 now,
                 call.configuration.services[call.service]?.coldRequestsPerSecond ?: 0.0,
                 context.directory.routers,
@@ -118,8 +125,8 @@
             }
             return HeadVerdict.SKIP
         }
-        signs.load?.let { belief.reported(it, context.clock.nanos()) }
-        signs.coldLeft?.let { belief.cold.coldUntil(context.clock.nanos() + it.inWholeNanoseconds) }
+        signs.load?.let { belief.recordLoad(it, context.clock.nanos()) }
+        signs.coldLeft?.let { belief.warmUp.extendTo(context.clock.nanos() + it.inWholeNanoseconds) }
         this.status = status
         this.headers = WireCalls.toCaller(headers)
         stage = stageOf(status, signs, headers)
@@ -154,7 +161,7 @@
     private fun beginEvents(signs: AnswerSigns) {
         noteFirstAnswer()
         endReading()
-        firstAnswerMillis?.let { belief.speed.observed(model ?: call.demand.model.orEmpty(), unread, it) }
+        firstAnswerMillis?.let { belief.prefillSpeed.record(model ?: call.demand.model.orEmpty(), unread, it) }
         val larger = exchange.largerModel(this, signs.confidence)
         if (larger != null) {
             noteSuccess()
@@ -169,7 +176,7 @@
     private fun endReading() {
         if (readingEnded) return
         readingEnded = true
-        belief.readingEnded(reading)
+        belief.recordPrefillEnd(reading)
         context.peers.readingEnds(readingKey(), belief.listing.id, reading)
     }
 
@@ -279,22 +286,22 @@
         stage = Stage.SETTLED
         context.watchdog.release(this)
         endReading()
-        belief.ended()
+        belief.recordEnd()
         call.demand.session?.let { context.rollOuts.runEnds(call.service, it, belief.listing.version) }
     }
 
     private fun noteSuccess() {
-        belief.succeeded(context.clock.nanos())
+        belief.recordSuccess(context.clock.nanos())
     }
 
     private fun noteFailure() {
-        if (belief.failed(context.clock.nanos(), context.random)) {
+        if (belief.recordFailure(context.clock.nanos(), context.random)) {
             LogEvent.ENDPOINT_EJECTED.log(logger) { "endpoint=${belief.listing.id} service=${call.service}" }
         }
     }
 
     private fun noteUnreachable() {
-        if (belief.unreachable(context.clock.nanos(), context.random)) {
+        if (belief.recordUnreachable(context.clock.nanos(), context.random)) {
             LogEvent.ENDPOINT_EJECTED.log(
                 logger,
             ) { "endpoint=${belief.listing.id} service=${call.service} unreachable" }
@@ -318,7 +325,13 @@
 
     /** An endpoint that reads a long prompt pauses between the events of others; any other one is silent sooner. */
     private fun pausePatience(now: Long): Duration =
-        if (belief.waitingMillis(now) > READING_THAT_DELAYS_MILLIS) PAUSE_PATIENCE_WHILE_READING else PAUSE_PATIENCE
+        if (belief.prefillBacklogMillis(now) >
+            READING_THAT_DELAYS_MILLIS
+        ) {
+            PAUSE_PATIENCE_WHILE_READING
+        } else {
+            PAUSE_PATIENCE
+        }
 
     /** What can't be repeated is waited for; the endpoint's other requests go elsewhere. */
     private fun suspect() {
@@ -329,7 +342,7 @@
 
     private fun firstAnswerPatience(): Duration =
         if (call.demand.promptTokens > 0) {
-            FIRST_EVENT_PATIENCE + belief.waitingMillis(context.clock.nanos()).milliseconds * READING_FACTOR
+            FIRST_EVENT_PATIENCE + belief.prefillBacklogMillis(context.clock.nanos()).milliseconds * READING_FACTOR
         } else {
             (call.route.latencyObjective * OBJECTIVES_UNTIL_REPEAT).coerceAtLeast(SHORTEST_PATIENCE)
         }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.call
 
 import dev.almondhaven.decision.traffic.EndpointPlacement
-import dev.almondhaven.decision.traffic.ModelSizing
+import dev.almondhaven.decision.traffic.ModelCascade
 import dev.almondhaven.gateway.peer.PeerLink
 import dev.almondhaven.gateway.state.ConfigurationProof
 import dev.almondhaven.gateway.state.Directory
@@ -17,7 +17,7 @@
     val proof: ConfigurationProof,
     val rollOuts: RollOuts,
     val placement: EndpointPlacement,
-    val sizing: ModelSizing,
+    val sizing: ModelCascade,
     val peers: PeerLink,
     val watchdog: Watchdog,
     val lifecycle: Lifecycle,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
@@ -34,7 +34,7 @@
         port: CallerPort,
     ): RequestInWork =
         admission.admit(request).fold({ refuse(request, port, it) }) { call ->
-            context.directory.budgetOf(call.service).requested(context.clock.nanos())
+            context.directory.budgetOf(call.service).recordRequest(context.clock.nanos())
             Exchange(context, selection, call, port).also { it.start() }
         }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelection.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelection.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.call
 
-import dev.almondhaven.decision.traffic.PlacingDemand
-import dev.almondhaven.decision.traffic.VersionChoice
+import dev.almondhaven.decision.traffic.PlacementRequest
+import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.state.KnownEndpoint
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.traffic.CallDemand
@@ -16,11 +16,11 @@
      */
     fun usable(
         call: AdmittedCall,
-        versions: VersionChoice,
+        versions: VersionConstraint,
     ): List<KnownEndpoint> {
         val inService = context.directory.endpointsOf(call.service).filter(::inService)
         val preferred = inService.filter { versions.allows(it.belief.listing.version) }
-        return if (preferred.isEmpty() && versions.bindsOnlyIfListed) inService else preferred
+        return if (preferred.isEmpty() && versions.allowsFallback) inService else preferred
     }
 
     private fun inService(endpoint: KnownEndpoint): Boolean {
@@ -32,7 +32,7 @@
     fun choose(
         usable: List<KnownEndpoint>,
         tried: Set<EndpointId>,
-        demand: PlacingDemand,
+        demand: PlacementRequest,
     ): KnownEndpoint? {
         val untried = usable.filter { it.belief.listing.id !in tried }
         return best(untried, demand) ?: best(usable - untried.toSet(), demand)
@@ -41,16 +41,16 @@
     /** Milliseconds until the best of [usable] is expected to begin its answer. */
     fun expectedMillis(
         usable: List<KnownEndpoint>,
-        demand: PlacingDemand,
-    ): Double = context.placement.expectedMillis(usable.map { it.belief }, demand, context.clock.nanos())
+        demand: PlacementRequest,
+    ): Double = context.placement.expectedFirstTokenMillis(usable.map { it.belief }, demand, context.clock.nanos())
 
     /** Milliseconds of reading that wait at one of [usable] on average. */
     fun backlogMillis(usable: List<KnownEndpoint>): Double =
-        context.placement.backlogMillis(usable.map { it.belief }, context.clock.nanos())
+        context.placement.averagePrefillBacklogMillis(usable.map { it.belief }, context.clock.nanos())
 
     private fun best(
         among: List<KnownEndpoint>,
-        demand: PlacingDemand,
+        demand: PlacementRequest,
     ): KnownEndpoint? {
         val chosen = context.placement.choose(among.map { it.belief }, demand, context.clock.nanos()) ?: return null
         return among.first { it.belief === chosen }
@@ -60,9 +60,9 @@
     fun demandOf(
         demand: CallDemand,
         model: String?,
-    ): PlacingDemand {
+    ): PlacementRequest {
         val shared = demand.promptParts.dropLast(1).lastOrNull()
-        return PlacingDemand(
+        return PlacementRequest(
             model.orEmpty(),
             demand.promptTokens,
             demand.promptParts,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.call
 
-import dev.almondhaven.decision.traffic.SizingOutlook
-import dev.almondhaven.decision.traffic.VersionChoice
+import dev.almondhaven.decision.traffic.EscalationConditions
+import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.net.CallerPort
 import dev.almondhaven.gateway.net.RequestInWork
 import dev.almondhaven.model.EndpointId
@@ -57,7 +57,7 @@
         val sized = call.route.models.isNotEmpty() && call.demand.model == CallDemand.ANY_MODEL
         if (sized) {
             model =
-                context.sizing.first(
+                context.sizing.firstModel(
                     call.route.models,
                     call.route.latencyObjective.inWholeMilliseconds,
                     ::expectedMillis,
@@ -107,22 +107,22 @@
     ): String? {
         val asked = attempt.model ?: return null
         val outlook = outlook()
-        backlogMillis = outlook.backlogMillis.toInt()
+        backlogMillis = outlook.prefillBacklogMillis.toInt()
         if (begun || runs + 2 > call.route.mostAttempts) return null
-        val larger = context.sizing.instead(call.route.models, asked, confidence, outlook) ?: return null
+        val larger = context.sizing.escalationTarget(call.route.models, asked, confidence, outlook) ?: return null
         return larger.takeIf { spendRepeat(LARGER_MODELS_PART) }
     }
 
-    private fun outlook(): SizingOutlook {
+    private fun outlook(): EscalationConditions {
         val left = call.route.latencyObjective - context.clock.elapsed(call.request.receivedAt)
         val backlog = selection.backlogMillis(selection.usable(call, versions()))
-        return SizingOutlook(left.inWholeMilliseconds.toDouble(), backlog, ::expectedMillis)
+        return EscalationConditions(left.inWholeMilliseconds.toDouble(), backlog, ::expectedMillis)
     }
 
     private fun expectedMillis(model: String): Double =
         selection.expectedMillis(selection.usable(call, versions()), selection.demandOf(call.demand, model))
 
-    private fun versions(): VersionChoice = context.rollOuts.versionFor(call.service, call.demand.session, call.id)
+    private fun versions(): VersionConstraint = context.rollOuts.versionFor(call.service, call.demand.session, call.id)
 
     fun attemptEnded(
         ended: Attempt,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerLink.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerLink.kt
@@ -123,11 +123,11 @@
     }
 
     private fun heard(note: ReadingNote) {
-        val reading = directory.endpoint(EndpointId(note.endpoint))?.belief?.remoteReading ?: return
+        val reading = directory.endpoint(EndpointId(note.endpoint))?.belief?.remotePrefills ?: return
         if (note.millis > 0) {
-            reading.began(note.key, note.millis.toDouble(), clock.nanos())
+            reading.add(note.key, note.millis.toDouble(), clock.nanos())
         } else {
-            reading.ended(note.key)
+            reading.remove(note.key)
         }
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ConfigurationProof.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ConfigurationProof.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.state
 
-import dev.almondhaven.decision.traffic.FreshnessProof
+import dev.almondhaven.decision.traffic.ConfigurationAge
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.platform.StoreCall
@@ -37,11 +37,11 @@
         fun later(span: Duration) = Moment(steady + span.inWholeNanoseconds, wall + span.inWholeMilliseconds)
     }
 
-    private val proof = FreshnessProof(bounds.revocation - MARGIN)
+    private val proof = ConfigurationAge(bounds.revocation - MARGIN)
     private var held = false
 
     /** Whether requests with keys may run now. */
-    val fresh: Boolean get() = proof.holds(clock.nanos(), wallMillis())
+    val fresh: Boolean get() = proof.isFresh(clock.nanos(), wallMillis())
 
     fun age(): Duration = proof.age(clock.nanos(), wallMillis())
 
@@ -81,7 +81,7 @@
         }
     }
 
-    private fun prove(moment: Moment): Unit = proof.prove(moment.steady, moment.wall)
+    private fun prove(moment: Moment): Unit = proof.confirm(moment.steady, moment.wall)
 
     private fun later(
         pause: Duration,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/Directory.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/Directory.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.state
 
-import dev.almondhaven.decision.traffic.EndpointBelief
-import dev.almondhaven.decision.traffic.RepeatWindow
+import dev.almondhaven.decision.traffic.EndpointView
+import dev.almondhaven.decision.traffic.SlidingRetryBudget
 import dev.almondhaven.gateway.net.ConnectionPool
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.LogEvent
@@ -56,13 +56,13 @@
     /** Endpoints of [service] that are listed, those included that may come back. */
     fun endpointsOf(service: ServiceId): Collection<KnownEndpoint> = services[service]?.endpoints?.values.orEmpty()
 
-    fun budgetOf(service: ServiceId): RepeatWindow = of(service).budget
+    fun budgetOf(service: ServiceId): SlidingRetryBudget = of(service).budget
 
     private fun of(service: ServiceId): ServiceEndpoints =
         services.getOrPut(service) {
             ServiceEndpoints(service) {
                 val slack = bounds.retrySlack * EARNED_PART / routers
-                RepeatWindow(bounds.retryWindow, bounds.retryRatio * EARNED_PART, slack)
+                SlidingRetryBudget(bounds.retryWindow, bounds.retryRatio * EARNED_PART, slack)
             }
         }
 
@@ -118,7 +118,7 @@
                 ?.memoryTokens ?: UNKNOWN_MEMORY_TOKENS
         endpoint =
             KnownEndpoint(
-                EndpointBelief(listing, of(listing.service).group, memory, of(listing.service).speed, clock.nanos()),
+                EndpointView(listing, of(listing.service).group, memory, of(listing.service).speed, clock.nanos()),
                 pool,
             )
         return endpoint
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/KnownEndpoint.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/KnownEndpoint.kt
@@ -1,11 +1,11 @@
 package dev.almondhaven.gateway.state
 
-import dev.almondhaven.decision.traffic.EndpointBelief
+import dev.almondhaven.decision.traffic.EndpointView
 import dev.almondhaven.gateway.net.ConnectionPool
 
 /** A listed endpoint, with the connections to it. */
 internal class KnownEndpoint(
-    val belief: EndpointBelief,
+    val belief: EndpointView,
     val pool: ConnectionPool,
 ) {
     /** Monotonic time until which an entry that lapsed may come back; null while it is listed. */
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOuts.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOuts.kt
@@ -1,11 +1,11 @@
 package dev.almondhaven.gateway.state
 
 import com.google.common.hash.Hashing
-import dev.almondhaven.decision.traffic.CurrentSession
-import dev.almondhaven.decision.traffic.RollOutEvidence
-import dev.almondhaven.decision.traffic.RollOutPlan
+import dev.almondhaven.decision.traffic.ActiveSession
+import dev.almondhaven.decision.traffic.CanaryComparison
+import dev.almondhaven.decision.traffic.RollOutSchedule
 import dev.almondhaven.decision.traffic.SessionVersions
-import dev.almondhaven.decision.traffic.VersionChoice
+import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.peer.SessionNote
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
@@ -39,8 +39,8 @@
         var order: RollOutOrder,
         val since: Long,
     ) {
-        val plan = RollOutPlan(order.within)
-        val evidence = RollOutEvidence()
+        val plan = RollOutSchedule(order.within)
+        val evidence = CanaryComparison()
         var asked: RollOutState? = null
     }
 
@@ -80,11 +80,11 @@
         service: ServiceId,
         session: String?,
         requestId: String,
-    ): VersionChoice {
-        val move = moves[service] ?: return VersionChoice.Any
-        val old = VersionChoice.Except(move.order.target)
-        val new = VersionChoice.Only(move.order.target)
-        val never = VersionChoice.Except(move.order.target, strict = true)
+    ): VersionConstraint {
+        val move = moves[service] ?: return VersionConstraint.Any
+        val old = VersionConstraint.Except(move.order.target)
+        val new = VersionConstraint.Only(move.order.target)
+        val never = VersionConstraint.Except(move.order.target, strict = true)
         return when (move.order.state) {
             RollOutState.DONE -> {
                 new
@@ -110,12 +110,12 @@
         move: Move,
         session: String?,
         requestId: String,
-        old: VersionChoice,
-        new: VersionChoice,
-    ): VersionChoice {
+        old: VersionConstraint,
+        new: VersionConstraint,
+    ): VersionConstraint {
         val elapsed = clock.elapsed(move.since)
         val chosen = if (part(session ?: requestId) < move.plan.share(elapsed)) new else old
-        if (session == null || move.plan.mayMove(elapsed)) return chosen
+        if (session == null || move.plan.allowsSessionMoves(elapsed)) return chosen
         val held = sessionsOf(move.order.service).versionOf(session, clock.nanos()) ?: return chosen
         return if (held == move.order.target) new else old
     }
@@ -129,8 +129,8 @@
         session: String,
         version: String,
     ) {
-        sessionsOf(service).began(session, version, clock.nanos())
-        announceHeld(service, CurrentSession(session, version, running = true))
+        sessionsOf(service).recordStart(session, version, clock.nanos())
+        announceHeld(service, ActiveSession(session, version, isRunning = true))
     }
 
     /** Notes that a run of [session] has ended at an endpoint of [version]. */
@@ -139,28 +139,28 @@
         session: String,
         version: String,
     ) {
-        sessionsOf(service).ended(session, clock.nanos())
-        announceHeld(service, CurrentSession(session, version, running = false))
+        sessionsOf(service).recordEnd(session, clock.nanos())
+        announceHeld(service, ActiveSession(session, version, isRunning = false))
     }
 
     /** Takes what another router says of a session. */
     fun heard(note: SessionNote): Unit =
-        sessionsOf(ServiceId(note.service)).heard(note.session, note.version, note.running, clock.nanos())
+        sessionsOf(ServiceId(note.service)).recordRemoteRun(note.session, note.version, note.running, clock.nanos())
 
     /** Tells the other routers which sessions must not try the new version yet: their requests may reach any router. */
     private fun announceCurrent(order: RollOutOrder): Unit =
-        sessionsOf(order.service).current(clock.nanos()).forEach { announceHeld(order.service, it) }
+        sessionsOf(order.service).activeSessions(clock.nanos()).forEach { announceHeld(order.service, it) }
 
     private fun announceHeld(
         service: ServiceId,
-        session: CurrentSession,
+        session: ActiveSession,
     ) {
         val move = moves[service] ?: return
         val elapsed = clock.elapsed(move.since)
         val settled = move.order.state == RollOutState.DONE || move.order.state == RollOutState.ROLLED_BACK
-        if (settled || move.plan.mayMove(elapsed) || session.version == move.order.target) return
+        if (settled || move.plan.allowsSessionMoves(elapsed) || session.version == move.order.target) return
         if (part(session.id) < move.plan.share(elapsed)) {
-            announce(SessionNote(service.value, session.id, session.version, session.running))
+            announce(SessionNote(service.value, session.id, session.version, session.isRunning))
         }
     }
 
@@ -178,7 +178,7 @@
         val move = moves[service] ?: return
         if (move.order.state == RollOutState.DONE || move.order.state == RollOutState.ROLLED_BACK) return
         move.evidence.record(version == move.order.target, failed)
-        if (failed && version == move.order.target && move.evidence.newIsBad()) ask(move, RollOutState.ROLLED_BACK)
+        if (failed && version == move.order.target && move.evidence.isCanaryWorse()) ask(move, RollOutState.ROLLED_BACK)
     }
 
     private fun tick() {
@@ -187,7 +187,7 @@
             val elapsed = clock.elapsed(move.since)
             when {
                 state == RollOutState.DONE || state == RollOutState.ROLLED_BACK -> Unit
-                move.plan.complete(elapsed) -> ask(move, RollOutState.DONE)
+                move.plan.isComplete(elapsed) -> ask(move, RollOutState.DONE)
                 state == RollOutState.ORDERED -> ask(move, RollOutState.RUNNING)
             }
         }
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/state/RollOutsTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/state/RollOutsTest.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.state
 
-import dev.almondhaven.decision.traffic.VersionChoice
+import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.peer.SessionNote
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.ServiceId
@@ -29,13 +29,13 @@
             { announced += it },
         )
     private val service = ServiceId("engines")
-    private val old = VersionChoice.Except("v2")
-    private val new = VersionChoice.Only("v2")
+    private val old = VersionConstraint.Except("v2")
+    private val new = VersionConstraint.Only("v2")
 
     private fun versionFor(
         session: String,
         millis: Long,
-    ): VersionChoice {
+    ): VersionConstraint {
         now = millis.milliseconds.inWholeNanoseconds
         return rollOuts.versionFor(service, session, "request")
     }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/Explanation.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/Explanation.kt
@@ -9,7 +9,7 @@
 import dev.almondhaven.decision.choice.Plan
 import dev.almondhaven.decision.choice.PlanChooser
 import dev.almondhaven.decision.choice.VersionEstimate
-import dev.almondhaven.decision.rollout.RollOutStage
+import dev.almondhaven.decision.rollout.RollOutAssignment
 import dev.almondhaven.decision.session.SessionRefusal
 import dev.almondhaven.decision.session.SessionVersionRule
 import dev.almondhaven.model.ModelId
@@ -80,7 +80,7 @@
     ): List<ModelVersion> {
         if (question.named?.version != null) return covered
         val served = covered.filter { index.endpoints(it.id).isNotEmpty() }.ifEmpty { covered }
-        return RollOutStage.narrow(served, question.key.value, epochMillis)
+        return RollOutAssignment.eligible(served, question.key.value, epochMillis)
     }
 
     private fun candidate(
@@ -128,7 +128,7 @@
         demand: Demand,
     ): List<String> {
         if (plan == null) return listOf("refused: no version in service takes the request")
-        val second = plan.escalation?.let { ", then ${it.id} below confidence ${plan.acceptFrom}" }.orEmpty()
+        val second = plan.escalation?.let { ", then ${it.id} below confidence ${plan.minimumConfidence}" }.orEmpty()
         val quality = if (plan.meetsTarget) "reaches" else "stays below"
         return buildList {
             add("chosen: ${plan.first.id}$second")
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
@@ -9,7 +9,7 @@
 import dev.almondhaven.decision.rollout.Quarantine
 import dev.almondhaven.decision.rollout.QuarantinePolicy
 import dev.almondhaven.decision.rollout.QuarantineSet
-import dev.almondhaven.decision.rollout.RatingTrust
+import dev.almondhaven.decision.rollout.RatingAnomalyDetector
 import dev.almondhaven.decision.rollout.RecentWindows
 import dev.almondhaven.decision.rollout.RollOutReport
 import dev.almondhaven.decision.rollout.TrialLimits
@@ -177,9 +177,9 @@
         val index = holder.index
         if (now - lastDistrustCheck >= DISTRUST_CHECK_MILLIS) {
             lastDistrustCheck = now
-            noteDistrust(RatingTrust.distrustedBuckets(pool.totals))
+            noteDistrust(RatingAnomalyDetector.distrustedBuckets(pool.totals))
         }
-        val held = snapshot.quarantines.current { index.version(it)?.definedIn }
+        val held = snapshot.quarantines.withoutSuperseded { index.version(it)?.definedIn }
         windows.advance(now)
         val policy = QuarantinePolicy(routerId, limits())
         val found = policy.decide(index.catalogue, held, pool.totals, windows.windows(), now)
@@ -216,7 +216,7 @@
                 .flatMap { listOf(it.version, it.rollOut!!.predecessor).map { version -> it.model to version } }
                 .toSet()
         pool
-            .nextToTell(missing) { (it.version.model to it.version.version) in rolledOut }
+            .nextToGossip(missing) { (it.version.model to it.version.version) in rolledOut }
             .forEach { (cell, tally) -> toTell.offer(EvidenceReading(cell, tally)) }
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointDirectory.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointDirectory.kt
@@ -2,13 +2,13 @@
 
 import dev.almondhaven.catalogue.CatalogueIndex
 import dev.almondhaven.catalogue.Endpoint
-import dev.almondhaven.decision.endpoint.ColdRamp
 import dev.almondhaven.decision.endpoint.EjectionGroup
 import dev.almondhaven.decision.endpoint.EndpointLimiter
 import dev.almondhaven.decision.endpoint.EndpointPool
 import dev.almondhaven.decision.endpoint.EndpointState
+import dev.almondhaven.decision.endpoint.EndpointSubsetting
 import dev.almondhaven.decision.endpoint.LoadReport
-import dev.almondhaven.decision.endpoint.RouterSubset
+import dev.almondhaven.decision.endpoint.SlowStart
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.decision.membership.Member
 import dev.almondhaven.model.EndpointId
@@ -50,8 +50,8 @@
     private val holder: CatalogueHolder,
     private val fleet: FleetView,
     private val clock: NanoClock,
-    private val ramp: ColdRamp = ColdRamp(),
-    private val subset: RouterSubset = RouterSubset(),
+    private val ramp: SlowStart = SlowStart(),
+    private val subset: EndpointSubsetting = EndpointSubsetting(),
     private val epochMillis: () -> Long = System::currentTimeMillis,
 ) : AutoCloseable {
     private sealed interface Message {
@@ -169,7 +169,7 @@
 
     private fun reportless(id: EndpointId) {
         val endpoint = known[id] ?: return
-        endpoint.limiter.recordReportless()
+        endpoint.limiter.recordNoLoadReport()
         endpoint.limiter.update(clock.nanos(), endpoint.sharers)
     }
 
@@ -212,7 +212,7 @@
         if (index !== builtFor || members != builtWith) rebuild(index, members)
         val now = clock.nanos()
         known.values.forEach { it.limiter.update(now, it.sharers) }
-        pools.values.forEach { it.refresh() }
+        pools.values.forEach { it.updateAverageOtherRequests() }
     }
 
     private fun rebuild(
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/CascadeRunner.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/CascadeRunner.kt
@@ -30,7 +30,7 @@
     ): CompletableFuture<Answer> {
         val plan = planned.plan
         return judged(exchange, plan.first, planned.taskClass, half(exchange), next).thenCompose { first ->
-            if (first.answer !is Answer.Refused && first.confidence >= plan.acceptFrom) {
+            if (first.answer !is Answer.Refused && first.confidence >= plan.minimumConfidence) {
                 first.accept()
                 CompletableFuture.completedFuture(first.answer)
             } else {
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/ModelChoiceFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/ModelChoiceFilter.kt
@@ -39,12 +39,12 @@
         next: RequestHandler,
     ): CompletableFuture<Answer> {
         val plan = planned.plan
-        if (!plan.meetsTarget && !plan.explores) {
+        if (!plan.meetsTarget && !plan.isExploration) {
             exchange.journal.addAnswerHeader(QualityHeader.NAME, QualityHeader.BELOW_TARGET)
         }
         return when {
             plan.escalation != null -> cascades.run(exchange, planned, plan.escalation!!, next)
-            plan.explores -> cascades.explore(exchange, plan.first, planned.taskClass, next)
+            plan.isExploration -> cascades.explore(exchange, plan.first, planned.taskClass, next)
             else -> steps.run(exchange, plan.first, planned.taskClass, next)
         }
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestPlanner.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestPlanner.kt
@@ -63,7 +63,7 @@
         RequestShape(
             promptTokens = exchange.body.length() / BYTES_PER_TOKEN,
             outputTokensLimit = (call.body["max_tokens"] as? JsonPrimitive)?.intOrNull?.takeIf { it > 0 },
-            holdsImages = RequestText.holdsImages(call.body),
+            hasImages = RequestText.holdsImages(call.body),
         )
 
     /** A declared class counts only if it is known, so that callers can't grow the evidence without bound. */
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/VersionPolicy.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/VersionPolicy.kt
@@ -3,7 +3,7 @@
 import dev.almondhaven.catalogue.CatalogueIndex
 import dev.almondhaven.catalogue.ModelVersion
 import dev.almondhaven.decision.rollout.QuarantineSet
-import dev.almondhaven.decision.rollout.RollOutStage
+import dev.almondhaven.decision.rollout.RollOutAssignment
 import dev.almondhaven.model.Refusal
 import dev.almondhaven.model.ResultCode
 import dev.almondhaven.router.controller.CatalogueHolder
@@ -26,7 +26,7 @@
         val covered = covered(index, exchange)
         if (!choosesFreely(exchange)) return covered
         val inReach = covered.filter { index.endpoints(it.id).isNotEmpty() }.ifEmpty { covered }
-        return RollOutStage.narrow(quarantines().usable(inReach), key, epochMillis)
+        return RollOutAssignment.eligible(quarantines().usable(inReach), key, epochMillis)
     }
 
     /** Why [exchange] may not be dispatched to its version now, or null when it may. */
@@ -39,7 +39,7 @@
         }
         val current = index.version(version.id) ?: version
         val alreadyAnswering = exchange.resumeAfter > 0
-        if (alreadyAnswering || !choosesFreely(exchange) || !quarantines().holds(current)) return null
+        if (alreadyAnswering || !choosesFreely(exchange) || !quarantines().contains(current)) return null
         val usable = quarantines().usable(covered(index, exchange))
         if (usable.any { it.id == version.id }) return null
         return Refusal(ResultCode.VERSION_QUARANTINED, "${version.id} is in quarantine", outcome)
