--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
@@ -59,15 +59,21 @@
         val now = context.clock.nanos()
         val demand = exchange.selection.demandOf(call.demand, model ?: call.demand.model)
         if (call.demand.promptTokens > 0) {
-            unread = (demand.promptTokens - state.cache.tokensHeld(demand.model, demand.promptParts)).coerceAtLeast(0)
-            reading = state.speed.millis(demand.model, unread)
-            state.cache.read(demand.model, demand.promptParts)
+            unread =
+                (
+                    demand.promptTokens - state.prefixCache.cachedTokens(
+                            demand.model,
+                            demand.promptParts,
+                        )
+                ).coerceAtLeast(0)
+            reading = state.prefillSpeed.estimateMillis(demand.model, unread)
+            state.prefixCache.recordPrefill(demand.model, demand.promptParts)
         }
-        state.started(reading)
+        state.recordStart(reading)
         call.demand.session?.let { context.rollOuts.runBegins(call.service, it, listing.version) }
         context.peers.readingBegins(readingKey(), listing.id, reading)
-        if (state.cold.cold(now)) {
-            state.cold.sent(
+        if (state.warmUp.isCold(now)) {
+            state.warmUp.recordSent(
                 now,
                 call.configuration.services[call.service]?.coldRequestsPerSecond ?: 0.0,
                 context.routing.routers,
@@ -118,8 +124,8 @@
             }
             return HeadAction.SKIP
         }
-        signs.load?.let { state.reported(it, context.clock.nanos()) }
-        signs.coldLeft?.let { state.cold.coldUntil(context.clock.nanos() + it.inWholeNanoseconds) }
+        signs.load?.let { state.recordLoad(it, context.clock.nanos()) }
+        signs.coldLeft?.let { state.warmUp.extendTo(context.clock.nanos() + it.inWholeNanoseconds) }
         this.status = status
         this.headers = WireCalls.toCaller(headers)
         stage = stageOf(status, signs, headers)
@@ -154,7 +160,7 @@
     private fun beginEvents(signs: AnswerSigns) {
         noteFirstAnswer()
         endReading()
-        firstAnswerMillis?.let { state.speed.observed(model ?: call.demand.model.orEmpty(), unread, it) }
+        firstAnswerMillis?.let { state.prefillSpeed.record(model ?: call.demand.model.orEmpty(), unread, it) }
         val larger = exchange.largerModel(this, signs.confidence)
         if (larger != null) {
             noteSuccess()
@@ -169,7 +175,7 @@
     private fun endReading() {
         if (readingEnded) return
         readingEnded = true
-        state.readingEnded(reading)
+        state.recordPrefillEnd(reading)
         context.peers.readingEnds(readingKey(), state.listing.id, reading)
     }
 
@@ -279,22 +285,22 @@
         stage = Stage.SETTLED
         context.watchdog.release(this)
         endReading()
-        state.ended()
+        state.recordEnd()
         call.demand.session?.let { context.rollOuts.runEnds(call.service, it, state.listing.version) }
     }
 
     private fun noteSuccess() {
-        state.succeeded(context.clock.nanos())
+        state.recordSuccess(context.clock.nanos())
     }
 
     private fun noteFailure() {
-        if (state.failed(context.clock.nanos(), context.random)) {
+        if (state.recordFailure(context.clock.nanos(), context.random)) {
             LogEvent.ENDPOINT_EJECTED.log(logger) { "endpoint=${state.listing.id} service=${call.service}" }
         }
     }
 
     private fun noteUnreachable() {
-        if (state.unreachable(context.clock.nanos(), context.random)) {
+        if (state.recordUnreachable(context.clock.nanos(), context.random)) {
             LogEvent.ENDPOINT_EJECTED.log(
                 logger,
             ) { "endpoint=${state.listing.id} service=${call.service} unreachable" }
@@ -318,7 +324,13 @@
 
     /** An endpoint that reads a long prompt pauses between the events of others; any other one is silent sooner. */
     private fun pausePatience(now: Long): Duration =
-        if (state.waitingMillis(now) > READING_THAT_DELAYS_MILLIS) PAUSE_PATIENCE_WHILE_READING else PAUSE_PATIENCE
+        if (state.prefillBacklogMillis(now) >
+            READING_THAT_DELAYS_MILLIS
+        ) {
+            PAUSE_PATIENCE_WHILE_READING
+        } else {
+            PAUSE_PATIENCE
+        }
 
     /** What can't be repeated is waited for; the endpoint's other requests go elsewhere. */
     private fun suspect() {
@@ -329,7 +341,7 @@
 
     private fun firstAnswerPatience(): Duration =
         if (call.demand.promptTokens > 0) {
-            FIRST_EVENT_PATIENCE + state.waitingMillis(context.clock.nanos()).milliseconds * READING_FACTOR
+            FIRST_EVENT_PATIENCE + state.prefillBacklogMillis(context.clock.nanos()).milliseconds * READING_FACTOR
         } else {
             (call.route.latencyObjective * OBJECTIVES_UNTIL_REPEAT).coerceAtLeast(SHORTEST_PATIENCE)
         }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
@@ -34,7 +34,7 @@
         port: ResponseWriter,
     ): InFlightRequest =
         admission.admit(request).fold({ refuse(request, port, it) }) { call ->
-            context.routing.budgetOf(call.service).requested(context.clock.nanos())
+            context.routing.budgetOf(call.service).recordRequest(context.clock.nanos())
             Exchange(context, selection, call, port).also { it.start() }
         }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.call
 
-import dev.almondhaven.decision.traffic.PlacingDemand
-import dev.almondhaven.decision.traffic.VersionChoice
+import dev.almondhaven.decision.traffic.PlacementRequest
+import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.state.EndpointHandle
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.traffic.CallDemand
@@ -16,11 +16,11 @@
      */
     fun usable(
         call: AdmittedCall,
-        versions: VersionChoice,
+        versions: VersionConstraint,
     ): List<EndpointHandle> {
         val inService = context.routing.endpointsOf(call.service).filter(::inService)
         val preferred = inService.filter { versions.allows(it.state.listing.version) }
-        return if (preferred.isEmpty() && versions.bindsOnlyIfListed) inService else preferred
+        return if (preferred.isEmpty() && versions.allowsFallback) inService else preferred
     }
 
     private fun inService(endpoint: EndpointHandle): Boolean {
@@ -32,7 +32,7 @@
     fun choose(
         usable: List<EndpointHandle>,
         tried: Set<EndpointId>,
-        demand: PlacingDemand,
+        demand: PlacementRequest,
     ): EndpointHandle? {
         val untried = usable.filter { it.state.listing.id !in tried }
         return best(untried, demand) ?: best(usable - untried.toSet(), demand)
@@ -41,16 +41,16 @@
     /** Milliseconds until the best of [usable] is expected to begin its answer. */
     fun expectedMillis(
         usable: List<EndpointHandle>,
-        demand: PlacingDemand,
-    ): Double = context.placement.expectedMillis(usable.map { it.state }, demand, context.clock.nanos())
+        demand: PlacementRequest,
+    ): Double = context.placement.expectedFirstTokenMillis(usable.map { it.state }, demand, context.clock.nanos())
 
     /** Milliseconds of reading that wait at one of [usable] on average. */
     fun backlogMillis(usable: List<EndpointHandle>): Double =
-        context.placement.backlogMillis(usable.map { it.state }, context.clock.nanos())
+        context.placement.averagePrefillBacklogMillis(usable.map { it.state }, context.clock.nanos())
 
     private fun best(
         among: List<EndpointHandle>,
-        demand: PlacingDemand,
+        demand: PlacementRequest,
     ): EndpointHandle? {
         val chosen = context.placement.choose(among.map { it.state }, demand, context.clock.nanos()) ?: return null
         return among.first { it.state === chosen }
@@ -60,9 +60,9 @@
     fun demandOf(
         demand: CallDemand,
         model: String?,
-    ): PlacingDemand {
+    ): PlacementRequest {
         val shared = demand.promptParts.dropLast(1).lastOrNull()
-        return PlacingDemand(
+        return PlacementRequest(
             model.orEmpty(),
             demand.promptTokens,
             demand.promptParts,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessenger.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessenger.kt
@@ -123,11 +123,11 @@
     }
 
     private fun heard(note: PrefillAnnouncement) {
-        val reading = routing.endpoint(EndpointId(note.endpoint))?.state?.remoteReading ?: return
+        val reading = routing.endpoint(EndpointId(note.endpoint))?.state?.remotePrefills ?: return
         if (note.millis > 0) {
-            reading.began(note.key, note.millis.toDouble(), clock.nanos())
+            reading.add(note.key, note.millis.toDouble(), clock.nanos())
         } else {
-            reading.ended(note.key)
+            reading.remove(note.key)
         }
     }
 
