--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudgetTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudgetTest.kt
@@ -97,7 +97,7 @@
                     served { window.trySpend(it, share = 0.8) },
                     served {
                         store.available >= 3 &&
-                            store.tryRetry()
+                            store.trySpend()
                     },
                 ),
             ).isEqualTo(listOf(12, 3))
