--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
@@ -61,7 +61,8 @@
         if (call.demand.promptTokens > 0) {
             unread =
                 (
-                    demand.promptTokens - state.prefixCache.cachedTokens(
+                    demand.promptTokens -
+                        state.prefixCache.cachedTokens(
                             demand.model,
                             demand.promptParts,
                         )
