--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriters.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
@@ -10,7 +10,7 @@
 import dev.almondhaven.decision.claim.ShardWriterLimits
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.store.ObjectKey
 import dev.almondhaven.store.ObjectStore
 import dev.almondhaven.store.ObjectVersion
@@ -30,7 +30,7 @@
 internal class ClaimOperationDropped : RuntimeException("too many claim operations wait")
 
 /** Settles operations on claims with the platform, each shard on one of a few duty threads. */
-internal class ClaimWriters(
+internal class ClaimWriterPool(
     private val objects: ObjectStore,
     private val limits: ShardWriterLimits,
     private val clock: NanoClock,
@@ -77,7 +77,7 @@
         index: Int,
     ) {
         private val shards = HashMap<ClaimShard, ActiveShard>()
-        val duty: DutyThread<Submission> = DutyThread.start("claims-$index", RING, TICK, ::pumpAll, ::take)
+        val duty: ActorThread<Submission> = ActorThread.start("claims-$index", RING, TICK, ::pumpAll, ::take)
 
         private fun take(submission: Submission) {
             val shard = shards.getOrPut(submission.shard) { ActiveShard(submission.shard) }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCall.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
@@ -29,13 +29,13 @@
 private val logger = KotlinLogging.logger {}
 
 /** Carries out what a [ClaimStateMachine] decides, on the exchange's event loop. */
-internal class ClaimedCall(
+internal class ClaimedCallExecution(
     private val shard: ClaimShard,
     request: ClaimRequest,
     dispatchBy: Long,
     private val exchange: Exchange,
     private val next: RequestHandler,
-    private val peers: ClaimPeers,
+    private val peers: ClaimPeerProtocol,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
 ) : DispatchGate {
@@ -45,7 +45,7 @@
     private var dispatching = false
 
     // A dispatched call counts as running until its own end, also when its caller has left.
-    private val releaseJournal = exchange.journal.hold()
+    private val releaseJournal = exchange.journal.deferEnd()
 
     /** The answer, at the exchange's deadline at the latest. */
     fun start(): CompletableFuture<Answer> {
@@ -59,9 +59,9 @@
         return answer
     }
 
-    override fun tryPass(): Boolean = ledger.tryDispatch(attempt, clock.nanos())
+    override fun tryAcquire(): Boolean = ledger.tryDispatch(attempt, clock.nanos())
 
-    override fun notSent(): Unit = ledger.undoDispatch(attempt)
+    override fun releaseUnsent(): Unit = ledger.undoDispatch(attempt)
 
     private fun run(actions: List<ClaimAction>): Unit = actions.forEach(::run)
 
@@ -128,7 +128,7 @@
     }
 
     private fun kept(result: Answer): RecordedResponse? {
-        val whole = (result as? Answer.Whole)?.takeIf { it.body.length() <= KEPT_ANSWER_BYTES } ?: return null
+        val whole = (result as? Answer.Complete)?.takeIf { it.body.length() <= KEPT_ANSWER_BYTES } ?: return null
         val body = Base64.getEncoder().encodeToString(whole.body.array())
         return RecordedResponse(whole.status.code(), whole.contentType.toString(), body)
     }
@@ -136,7 +136,7 @@
     private fun replay(kept: RecordedResponse) {
         exchange.journal.addAnswerHeader("x-almondhaven-replayed", "true")
         val body = HttpData.wrap(Base64.getDecoder().decode(kept.body))
-        answer.complete(Answer.Whole(HttpStatus.valueOf(kept.status), MediaType.parse(kept.contentType), body))
+        answer.complete(Answer.Complete(HttpStatus.valueOf(kept.status), MediaType.parse(kept.contentType), body))
     }
 
     private fun refuse(action: ClaimAction.Refuse) {
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
@@ -9,7 +9,7 @@
 import dev.almondhaven.decision.rollout.Quarantine
 import dev.almondhaven.decision.rollout.QuarantinePolicy
 import dev.almondhaven.decision.rollout.QuarantineSet
-import dev.almondhaven.decision.rollout.RatingTrust
+import dev.almondhaven.decision.rollout.RatingAnomalyDetector
 import dev.almondhaven.decision.rollout.RecentWindows
 import dev.almondhaven.decision.rollout.RollOutReport
 import dev.almondhaven.decision.rollout.TrialLimits
@@ -41,7 +41,7 @@
 )
 
 /** A reading of another router's evidence. */
-internal data class EvidenceReading(
+internal data class EvidenceUpdate(
     val cell: EvidenceCell,
     val tally: Tally,
 )
@@ -56,7 +56,7 @@
     ) : ChoiceMessage
 
     class EvidenceTold(
-        val readings: List<EvidenceReading>,
+        val readings: List<EvidenceUpdate>,
     ) : ChoiceMessage
 
     class QuarantinesTold(
@@ -78,13 +78,13 @@
     private val pool = EvidencePool(self)
     private val windows = RecentWindows(pool)
     private val pending = PendingRatings(MAXIMUM_PENDING_RATINGS)
-    private val toTell = ArrayBlockingQueue<EvidenceReading>(MAXIMUM_TO_TELL)
+    private val toTell = ArrayBlockingQueue<EvidenceUpdate>(MAXIMUM_TO_TELL)
     private var distrusted = emptySet<Long>()
     private var lastEvaluation = 0L
     private var lastDistrustCheck = 0L
 
     @Volatile
-    private var duty: DutyThread<ChoiceMessage>? = null
+    private var duty: ActorThread<ChoiceMessage>? = null
 
     /** What requests read. */
     @Volatile
@@ -92,7 +92,7 @@
         private set
 
     fun start() {
-        duty = DutyThread.start("choice", RING, TICK, onTick = ::tick, onMessage = ::take)
+        duty = ActorThread.start("choice", RING, TICK, onTick = ::tick, onMessage = ::take)
     }
 
     override fun close() {
@@ -110,7 +110,7 @@
     }
 
     /** Takes in other routers' evidence. */
-    fun merge(readings: List<EvidenceReading>) {
+    fun merge(readings: List<EvidenceUpdate>) {
         duty?.offer(ChoiceMessage.EvidenceTold(readings))
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** The next reading to tell a peer, or null when nothing has changed. */
-    fun nextReading(): EvidenceReading? = toTell.poll()
+    fun nextEvidenceUpdate(): EvidenceUpdate? = toTell.poll()
 
     /** What operators are told. */
     fun report(): RollOutReport {
@@ -177,9 +177,9 @@
         val index = holder.index
         if (now - lastDistrustCheck >= DISTRUST_CHECK_MILLIS) {
             lastDistrustCheck = now
-            noteDistrust(RatingTrust.distrustedBuckets(pool.totals))
+            noteDistrust(RatingAnomalyDetector.distrustedBuckets(pool.totals))
         }
-        val held = snapshot.quarantines.current { index.version(it)?.definedIn }
+        val held = snapshot.quarantines.withoutSuperseded { index.version(it)?.definedIn }
         windows.advance(now)
         val policy = QuarantinePolicy(routerId, limits())
         val found = policy.decide(index.catalogue, held, pool.totals, windows.windows(), now)
@@ -216,8 +216,8 @@
                 .flatMap { listOf(it.version, it.rollOut!!.predecessor).map { version -> it.model to version } }
                 .toSet()
         pool
-            .nextToTell(missing) { (it.version.model to it.version.version) in rolledOut }
-            .forEach { (cell, tally) -> toTell.offer(EvidenceReading(cell, tally)) }
+            .nextToGossip(missing) { (it.version.model to it.version.version) in rolledOut }
+            .forEach { (cell, tally) -> toTell.offer(EvidenceUpdate(cell, tally)) }
     }
 
     private companion object {
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
@@ -55,7 +55,7 @@
     }
 
     /** What the other live routers use of [organisation]'s limits, by their last word. */
-    public fun othersUse(organisation: OrganisationId): OrganisationUsage {
+    public fun usageOfOthers(organisation: OrganisationId): OrganisationUsage {
         val now = clock.nanos()
         val live = fleet.members.mapTo(HashSet()) { it.id }
         heard.values.removeIf { it.word.router !in live || now - it.at > PATIENCE.inWholeNanoseconds }
@@ -65,7 +65,7 @@
             .fold(OrganisationUsage.NONE) { sum, word -> sum + OrganisationUsage(word.inFlight, word.tokensPerMinute) }
     }
 
-    override fun outgoing(budgetBytes: Int): JsonElement? {
+    override fun nextPayload(budgetBytes: Int): JsonElement? {
         val words = ArrayList<RouterWord>()
         var bytes = 0
         val freshestFirst = heard.values.sortedByDescending { it.at }.map { it.word }
@@ -78,7 +78,7 @@
         return Json.encodeToJsonElement(WORDS, words)
     }
 
-    override fun incoming(
+    override fun mergePayload(
         from: RouterId,
         payload: JsonElement,
     ) {
