--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/FairQueue.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/FairQueue.kt
@@ -9,7 +9,7 @@
 /**
  * How urgent a request is among those of its own organisation.
  *
- * @property engineValue what engines call it; the lower, the more urgent.
+ * @property engineValue the priority sent to engines; lower values are more urgent.
  */
 public enum class Priority(
     public val engineValue: Int,
@@ -20,11 +20,11 @@
 }
 
 /**
- * A request that waits.
+ * A request to queue.
  *
- * @property weight weight of its organisation.
- * @property cost expected work, in any unit that all entries weight, for example tokens.
- * @property latestStart monotonic nanoseconds by which it has to start to make its deadline.
+ * @property weight fair-queueing weight of its organisation.
+ * @property cost expected work, in any unit that all entries share, for example tokens.
+ * @property latestStart monotonic nanoseconds by which it has to start to meet its deadline.
  */
 public class QueuedRequest<T>(
     public val value: T,
@@ -40,28 +40,28 @@
     }
 }
 
-/** What became of a request that wants to wait. */
+/** The result of [FairQueue.offer]. */
 public sealed interface EnqueueResult {
-    /** It waits. */
+    /** The request is queued. */
     public data object Waiting : EnqueueResult
 
-    /** It can't be served in time, or its organisation's queue is full; [retryAfter] is when there is likely room. */
+    /** The request can't start in time, or its organisation's queue is full; it may be retried after [retryAfter]. */
     public data class Refused(
         public val retryAfter: Duration,
     ) : EnqueueResult
 }
 
 /**
- * Start-time fair queueing over organisations with a bounded queue each: capacity is divided by shares, and one
- * organisation's burst delays only itself. Work that can't start in time is refused at the door, and what has
- * passed its latest start while waiting is handed out by [expired] instead of being served. Belongs to one thread.
+ * Start-time fair queueing over organisations, each with a bounded queue: capacity is divided by weight, and a burst of
+ * one organisation delays only that organisation. A request that can't start in time is refused when it is offered; one
+ * that passes its latest start while queued is returned by [expired] instead of being served. Not thread-safe.
  *
- * @property maxQueueLength requests that may wait for each organisation.
+ * @property maxQueueLength requests that may be queued for each organisation.
  */
 public class FairQueue<T>(
     private val maxQueueLength: Int = DEFAULT_MAX_QUEUE_LENGTH,
 ) {
-    private class Lane<T>(
+    private class OrganisationQueue<T>(
         val weight: Double,
     ) {
         val waiting: Map<Priority, ArrayDeque<QueuedRequest<T>>> = Priority.entries.associateWith { ArrayDeque() }
@@ -72,111 +72,111 @@
         fun head(): QueuedRequest<T>? = waiting.values.firstOrNull { it.isNotEmpty() }?.first()
     }
 
-    private val lanes = LinkedHashMap<OrganisationId, Lane<T>>()
+    private val queues = LinkedHashMap<OrganisationId, OrganisationQueue<T>>()
     private val rate = DrainRate()
     private var virtualTime = 0.0
 
-    /** Requests that wait. */
+    /** Number of queued requests. */
     public var size: Int = 0
         private set
 
-    /** Lets [request] wait if it can be served in time. */
+    /** Queues [request] if it can start in time. */
     public fun offer(
         request: QueuedRequest<T>,
         now: Long,
     ): EnqueueResult {
-        val lane = lanes.getOrPut(request.organisation) { Lane(request.weight) }
-        val wait = expectedWait(lane)
-        if (lane.size >= maxQueueLength || now + wait.inWholeNanoseconds >= request.latestStart) {
-            if (lane.size == 0) lanes -= request.organisation
-            return EnqueueResult.Refused(wait.coerceIn(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER))
+        val queue = queues.getOrPut(request.organisation) { OrganisationQueue(request.weight) }
+        val wait = expectedWait(queue)
+        if (queue.size >= maxQueueLength || now + wait.inWholeNanoseconds >= request.latestStart) {
+            if (queue.size == 0) queues -= request.organisation
+            return EnqueueResult.Refused(wait.coerceIn(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
         }
-        if (lane.size == 0) lane.finishTag = maxOf(lane.finishTag, virtualTime)
-        lane.waiting.getValue(request.priority) += request
+        if (queue.size == 0) queue.finishTag = maxOf(queue.finishTag, virtualTime)
+        queue.waiting.getValue(request.priority) += request
         size++
         return EnqueueResult.Waiting
     }
 
-    /** The request whose turn it is, without taking it; null when none waits. */
-    public fun peek(): QueuedRequest<T>? = nextLane()?.head()
+    /** The next request to serve, without removing it; null if none is queued. */
+    public fun peek(): QueuedRequest<T>? = nextQueue()?.head()
 
-    /** Takes the request whose turn it is; null when none waits. */
+    /** Removes and returns the next request to serve; null if none is queued. */
     public fun poll(now: Long): QueuedRequest<T>? {
-        val lane = nextLane() ?: return null
-        val request = checkNotNull(lane.head()) { "an empty lane was left in the queue" }
-        virtualTime = maxOf(virtualTime, lane.finishTag)
-        lane.finishTag = startTag(lane) + request.cost / lane.weight
-        remove(lane, request)
+        val queue = nextQueue() ?: return null
+        val request = checkNotNull(queue.head()) { "a queue without requests was selected" }
+        virtualTime = maxOf(virtualTime, queue.finishTag)
+        queue.finishTag = startTag(queue) + request.cost / queue.weight
+        remove(queue, request)
         rate.recordPoll(now)
         return request
     }
 
-    /** Takes every request whose latest start has passed. */
+    /** Removes and returns every request whose latest start has passed. */
     public fun expired(now: Long): List<QueuedRequest<T>> {
-        val late = lanes.values.flatMap { lane -> lane.waiting.values.flatten() }.filter { it.latestStart <= now }
-        late.forEach { remove(lanes.getValue(it.organisation), it) }
+        val late = queues.values.flatMap { queue -> queue.waiting.values.flatten() }.filter { it.latestStart <= now }
+        late.forEach { remove(queues.getValue(it.organisation), it) }
         return late
     }
 
-    private fun startTag(lane: Lane<T>): Double = maxOf(lane.finishTag, virtualTime)
+    private fun startTag(queue: OrganisationQueue<T>): Double = maxOf(queue.finishTag, virtualTime)
 
-    private fun nextLane(): Lane<T>? = lanes.values.filter { it.size > 0 }.minByOrNull { it.finishTag }
+    private fun nextQueue(): OrganisationQueue<T>? = queues.values.filter { it.size > 0 }.minByOrNull { it.finishTag }
 
     private fun remove(
-        lane: Lane<T>,
+        queue: OrganisationQueue<T>,
         request: QueuedRequest<T>,
     ) {
-        lane.waiting.getValue(request.priority) -= request
+        queue.waiting.getValue(request.priority) -= request
         size--
-        if (size == 0) forgetIdle()
+        if (size == 0) resetIdle()
     }
 
-    /** With nothing waiting the virtual time starts over, so that lanes of organisations long gone don't pile up. */
-    private fun forgetIdle() {
-        lanes.clear()
+    /** Resets the virtual time once no request is queued, so that queues of inactive organisations don't accumulate. */
+    private fun resetIdle() {
+        queues.clear()
         virtualTime = 0.0
     }
 
-    private fun expectedWait(lane: Lane<T>): Duration {
+    private fun expectedWait(queue: OrganisationQueue<T>): Duration {
         val perSecond = rate.perSecond ?: return Duration.ZERO
-        val active = lanes.values.filter { it.size > 0 || it === lane }
-        val part = lane.weight / active.sumOf { it.weight }
-        return (lane.size / (perSecond * part)).seconds
+        val active = queues.values.filter { it.size > 0 || it === queue }
+        val rateShare = queue.weight / active.sumOf { it.weight }
+        return (queue.size / (perSecond * rateShare)).seconds
     }
 
     public companion object {
         public const val DEFAULT_MAX_QUEUE_LENGTH: Int = 256
-        private val SHORTEST_RETRY_AFTER = 1.seconds
-        private val LONGEST_RETRY_AFTER = 60.seconds
+        private val MIN_RETRY_AFTER = 1.seconds
+        private val MAX_RETRY_AFTER = 60.seconds
     }
 }
 
-/** Smoothed rate at which a queue is served. */
+/** The smoothed rate at which a queue is served. */
 internal class DrainRate {
     private var lastPoll: Long? = null
-    private var interval: Double = 0.0
+    private var intervalSeconds: Double = 0.0
     private var polls = 0
 
-    /** Requests served a second; null until enough were. */
-    val perSecond: Double? get() = if (polls < SETTLING_POLLS) null else 1.0 / maxOf(interval, SHORTEST_INTERVAL)
+    /** Requests served per second; null until enough polls were recorded. */
+    val perSecond: Double? get() = if (polls < MIN_POLLS) null else 1.0 / maxOf(intervalSeconds, MIN_INTERVAL_SECONDS)
 
     fun recordPoll(now: Long) {
         val previous = lastPoll
         lastPoll = now
         if (previous == null) return
         val since = (now - previous).nanoseconds
-        // A pause of the queue says nothing about how fast it is served.
-        if (since > LONGEST_INTERVAL) return
+        // An idle period says nothing about the service rate.
+        if (since > MAX_INTERVAL) return
         polls++
         val seconds = since.inWholeNanoseconds / NANOS_PER_SECOND
-        interval += (seconds - interval) / minOf(polls, WINDOW)
+        intervalSeconds += (seconds - intervalSeconds) / minOf(polls, SMOOTHING_POLLS)
     }
 
     private companion object {
-        const val SETTLING_POLLS = 8
-        const val WINDOW = 64
-        const val SHORTEST_INTERVAL = 1e-6
+        const val MIN_POLLS = 8
+        const val SMOOTHING_POLLS = 64
+        const val MIN_INTERVAL_SECONDS = 1e-6
         const val NANOS_PER_SECOND = 1e9
-        val LONGEST_INTERVAL = 5_000.milliseconds
+        val MAX_INTERVAL = 5_000.milliseconds
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/FleetShare.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/FleetShare.kt
@@ -4,14 +4,15 @@
 import dev.almondhaven.model.RouterId
 
 /**
- * One router's part of a limit that the fleet holds together. Routers that share a view get parts that add up to the
- * limit exactly; where there are more routers than slots, only rendezvous-chosen ones get a slot.
+ * Divides an integer limit that applies to the whole fleet among routers. The shares of routers with the same view add
+ * up to exactly the limit. The remainder of the division goes to routers chosen by rendezvous hashing, so if there are
+ * more routers than slots only those get one.
  *
- * While views differ, the holders of each distinct view get at most the limit together, so that `d` views held at once
- * admit at most `d * limit`.
+ * While views differ, the routers with the same view together get at most the limit, so `d` distinct views admit at
+ * most `d * limit`.
  */
 public object FleetShare {
-    /** The part of [limit] that falls to [self] among [sharers]; 0 when [self] isn't one of them. */
+    /** The share of [limit] for [self] among [sharers]; 0 if [self] isn't one of them. */
     public fun of(
         key: String,
         limit: Int,
@@ -21,7 +22,7 @@
         require(limit >= 0) { "limit must not be negative, got $limit" }
         if (self !in sharers) return 0
         val remainder = limit % sharers.size
-        val favoured = RendezvousHash.choose(key, sharers, remainder) { it.value }
-        return limit / sharers.size + (if (self in favoured) 1 else 0)
+        val remainderHolders = RendezvousHash.choose(key, sharers, remainder) { it.value }
+        return limit / sharers.size + (if (self in remainderHolders) 1 else 0)
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/OrganisationLimiter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/OrganisationLimiter.kt
@@ -5,9 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration
 
-/**
- * What an organisation uses: requests in flight and tokens per minute.
- */
+/** The usage of an organisation: requests in flight and tokens per minute. */
 public data class OrganisationUsage(
     public val inFlight: Double,
     public val tokensPerMinute: Double,
@@ -24,8 +22,8 @@
 }
 
 /**
- * One organisation's use of this router and the router's part of the organisation's limits. Any thread may start and
- * end requests; one thread calls [refresh].
+ * Tracks one organisation's usage on this router and enforces this router's share of the organisation's limits. Any
+ * thread may start and end requests; only one thread may call [refresh].
  */
 public class OrganisationLimiter(
     limits: OrganisationLimits,
@@ -38,37 +36,37 @@
     private var refreshedAt = now
     private var tokensPerMinute = 0.0
 
-    /** Requests that may be in flight on this router. */
+    /** Number of requests that may be in flight on this router. */
     @Volatile
     public var concurrencyAllowance: Int =
-        partOf(limits.concurrency, OrganisationUsage.NONE, OrganisationUsage.NONE, routers)
+        concurrencyShare(limits.concurrency, OrganisationUsage.NONE, OrganisationUsage.NONE, routers)
         private set
 
-    /** The use to tell other routers; changes only in [refresh]. */
+    /** The usage to report to other routers; changes only in [refresh]. */
     @Volatile
     public var reportedUsage: OrganisationUsage = OrganisationUsage.NONE
         private set
 
-    /** Requests in flight. */
+    /** Number of requests in flight. */
     public val running: Int get() = inFlight.get()
 
-    /** Counts a request in; false when the concurrencyAllowance is used up. */
+    /** Counts the start of a request; false if [concurrencyAllowance] is used up. */
     public fun tryStart(): Boolean {
         if (inFlight.incrementAndGet() <= concurrencyAllowance) return true
         inFlight.decrementAndGet()
         return false
     }
 
-    /** Counts a request out. */
+    /** Counts the end of a request. */
     public fun end() {
         val left = inFlight.decrementAndGet()
         check(left >= 0) { "more requests ended than started: $left" }
     }
 
-    /** Reserves [tokens]; the time to wait when the rate is used up. */
+    /** Reserves [tokens] and returns null, or returns the time to wait if the token rate is used up. */
     public fun reserve(tokens: Long): Duration? = bucket.reserve(tokens)
 
-    /** Settles a reservation of [reserved] tokens of which [used] were. */
+    /** Settles a reservation of [reserved] tokens when [used] tokens were consumed. */
     public fun settle(
         reserved: Long,
         used: Long,
@@ -77,7 +75,7 @@
         tokensSinceRefresh.addAndGet(used)
     }
 
-    /** Works out this router's part anew; [others] is what the other routers reportedUsage of their use. */
+    /** Recomputes this router's shares; [others] is the total usage that the other routers reported. */
     public fun refresh(
         limits: OrganisationLimits,
         others: OrganisationUsage,
@@ -87,7 +85,7 @@
         measureTokens(now)
         reportedUsage = OrganisationUsage(inFlight.get().toDouble(), tokensPerMinute)
         val fleet = reportedUsage + others
-        concurrencyAllowance = partOf(limits.concurrency, reportedUsage, fleet, routers)
+        concurrencyAllowance = concurrencyShare(limits.concurrency, reportedUsage, fleet, routers)
         val rate =
             UsageBasedShare.of(
                 limits.tokensPerMinute.toDouble(),
@@ -99,15 +97,15 @@
     }
 
     private fun measureTokens(now: Long) {
-        val passed = (now - refreshedAt) / NANOS_PER_MINUTE
-        if (passed <= 0) return
-        val current = tokensSinceRefresh.getAndSet(0) / passed
-        val weight = minOf(1.0, passed / SMOOTHING_MINUTES)
-        tokensPerMinute += (current - tokensPerMinute) * weight
+        val minutes = (now - refreshedAt) / NANOS_PER_MINUTE
+        if (minutes <= 0) return
+        val currentRate = tokensSinceRefresh.getAndSet(0) / minutes
+        val weight = minOf(1.0, minutes / SMOOTHING_MINUTES)
+        tokensPerMinute += (currentRate - tokensPerMinute) * weight
         refreshedAt = now
     }
 
-    private fun partOf(
+    private fun concurrencyShare(
         limit: Int,
         own: OrganisationUsage,
         fleet: OrganisationUsage,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/RecentMinimumShare.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/RecentMinimumShare.kt
@@ -5,40 +5,40 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Keeps [self] at the smallest part of a fleet limit that any view of the last [settling] time gives it. When a change
- * of membership reaches every router within that time, the routers that already know of it and those that don't yet
- * stay within the limit together; a router that just joined adds at most its own part. Belongs to one thread.
+ * Limits [self] to the smallest share of a fleet-wide limit that it had in any view of the last [convergenceTime]. If a
+ * membership change reaches every router within that time, routers with the old view and routers with the new one
+ * together stay within the limit; a router that just joined adds at most its own share. Not thread-safe.
  */
 public class RecentMinimumShare(
     private val key: String,
     private val self: RouterId,
-    private val settling: Duration = DEFAULT_SETTLING,
+    private val convergenceTime: Duration = DEFAULT_CONVERGENCE_TIME,
 ) {
-    private data class Held(
+    private data class EarlierView(
         val sharers: List<RouterId>,
         val until: Long,
     )
 
-    private val earlier = ArrayDeque<Held>()
-    private var current: List<RouterId>? = null
+    private val earlierViews = ArrayDeque<EarlierView>()
+    private var currentSharers: List<RouterId>? = null
 
-    /** The part of [limit] to use [now], when [sharers] are held to be the routers that share it. */
+    /** The share of [limit] to use at [now], when [sharers] are the routers that share it in the current view. */
     public fun of(
         limit: Int,
         sharers: List<RouterId>,
         now: Long,
     ): Int {
-        val previous = current
+        val previous = currentSharers
         if (previous != null && previous != sharers) {
-            earlier.addLast(Held(previous, now + settling.inWholeNanoseconds))
+            earlierViews.addLast(EarlierView(previous, now + convergenceTime.inWholeNanoseconds))
         }
-        current = sharers
-        while (earlier.isNotEmpty() && earlier.first().until <= now) earlier.removeFirst()
+        currentSharers = sharers
+        while (earlierViews.isNotEmpty() && earlierViews.first().until <= now) earlierViews.removeFirst()
         val share = FleetShare.of(key, limit, self, sharers)
-        return earlier.minOfOrNull { FleetShare.of(key, limit, self, it.sharers) }?.coerceAtMost(share) ?: share
+        return earlierViews.minOfOrNull { FleetShare.of(key, limit, self, it.sharers) }?.coerceAtMost(share) ?: share
     }
 
     public companion object {
-        private val DEFAULT_SETTLING = 5.seconds
+        private val DEFAULT_CONVERGENCE_TIME = 5.seconds
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/limit/TokenBucket.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/limit/TokenBucket.kt
@@ -7,9 +7,9 @@
 import kotlin.time.DurationUnit
 
 /**
- * A rate limit in tokens. A request reserves an estimate when it starts and settles the difference when its true use is
- * known; the level may fall below zero by what was underestimated, which later requests then wait for. Any thread may
- * [reserve] and [settle]; one thread calls [refill].
+ * A rate limit in tokens. A request reserves its estimated tokens when it starts and settles the difference when its
+ * actual usage is known. The level falls below zero by the amount that was underestimated, and later requests wait
+ * until that is refilled. Any thread may call [reserve] and [settle]; only one thread may call [refill].
  */
 public class TokenBucket(
     perMinute: Double,
@@ -18,34 +18,34 @@
     @Volatile
     private var perSecond = perMinute / SECONDS_PER_MINUTE
     private val level = AtomicLong((perSecond * BURST_SECONDS).toLong())
-    private var filledAt = now
-    private var fraction = 0.0
+    private var refilledAt = now
+    private var fractionalTokens = 0.0
 
-    /** Tokens that can be used now; negative while the bucket is overdrawn. */
+    /** Tokens available now; negative while the bucket is overdrawn. */
     public val available: Long get() = level.get()
 
-    /** Adds what [perMinute] gives since the last call. */
+    /** Adds the tokens accrued at [perMinute] since the last call. */
     public fun refill(
         perMinute: Double,
         now: Long,
     ) {
         perSecond = perMinute / SECONDS_PER_MINUTE
-        val earned = fraction + (now - filledAt).nanoseconds.toDouble(DurationUnit.SECONDS) * perSecond
-        fraction = earned - earned.toLong()
-        filledAt = now
-        level.updateAndGet { minOf(it + earned.toLong(), (perSecond * BURST_SECONDS).toLong()) }
+        val accrued = fractionalTokens + (now - refilledAt).nanoseconds.toDouble(DurationUnit.SECONDS) * perSecond
+        fractionalTokens = accrued - accrued.toLong()
+        refilledAt = now
+        level.updateAndGet { minOf(it + accrued.toLong(), (perSecond * BURST_SECONDS).toLong()) }
     }
 
-    /** Takes [tokens] if any are left and returns null; otherwise takes none and returns the time until some are. */
+    /** Takes [tokens] and returns null if the level is positive; otherwise returns the time until it is again. */
     public fun reserve(tokens: Long): Duration? {
         while (true) {
-            val held = level.get()
-            if (held <= 0) return if (perSecond > 0) ((1 - held) / perSecond).seconds else LONGEST_WAIT
-            if (level.compareAndSet(held, held - tokens)) return null
+            val available = level.get()
+            if (available <= 0) return if (perSecond > 0) ((1 - available) / perSecond).seconds else MAX_WAIT
+            if (level.compareAndSet(available, available - tokens)) return null
         }
     }
 
-    /** Corrects a reservation of [reserved] tokens of which [used] were. */
+    /** Corrects a reservation of [reserved] tokens when [used] tokens were consumed. */
     public fun settle(
         reserved: Long,
         used: Long,
@@ -56,8 +56,8 @@
     private companion object {
         const val SECONDS_PER_MINUTE = 60.0
 
-        /** Seconds of the rate that may be used at once. */
+        /** Capacity of the bucket, in seconds of its rate. */
         const val BURST_SECONDS = 10.0
-        val LONGEST_WAIT = 60.seconds
+        val MAX_WAIT = 60.seconds
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/limit/FairQueueTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/limit/FairQueueTest.kt
@@ -19,20 +19,20 @@
 import kotlin.time.Duration.Companion.seconds
 
 class FairQueueTest {
-    private val far = 3_600.seconds.inWholeNanoseconds
+    private val farFuture = 3_600.seconds.inWholeNanoseconds
 
     private fun request(
         organisation: String,
-        share: Double = 1.0,
-        latestStart: Long = far,
+        weight: Double = 1.0,
+        latestStart: Long = farFuture,
         priority: Priority = Priority.NORMAL,
     ): QueuedRequest<String> =
-        QueuedRequest("$organisation-$priority", OrganisationId(organisation), share, 1.0, latestStart, priority)
+        QueuedRequest("$organisation-$priority", OrganisationId(organisation), weight, 1.0, latestStart, priority)
 
     @Nested
-    inner class `organisations that all wait` {
+    inner class `organisations with queued requests` {
         @Test
-        fun `are served by their shares within one request`() {
+        fun `are served in proportion to their weights, within one request`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = 48), Arb.int(1..5), Arb.int(1..5)) { first, second ->
                     val queue = FairQueue<String>()
@@ -46,7 +46,7 @@
         }
 
         @Test
-        fun `don't starve one that comes late`() {
+        fun `don't starve one that queues later`() {
             val queue = FairQueue<String>()
             repeat(200) { queue.offer(request("large"), 0) }
             repeat(50) { queue.poll(0) }
@@ -60,7 +60,7 @@
     @Nested
     inner class `an organisation's own requests` {
         @Test
-        fun `go by priority, then in order`() {
+        fun `are served by priority, then in order of arrival`() {
             val queue = FairQueue<String>()
             listOf(Priority.LOW, Priority.NORMAL, Priority.HIGH).forEach { queue.offer(request("a", priority = it), 0) }
 
@@ -68,7 +68,7 @@
         }
 
         @Test
-        fun `beyond the bound are refused`() {
+        fun `beyond the maximum queue length are refused`() {
             val queue = FairQueue<String>(maxQueueLength = 2)
             val results = List(3) { queue.offer(request("a"), 0) }
 
@@ -79,7 +79,7 @@
 
     @Nested
     inner class `a request that can't start in time` {
-        private fun served(): FairQueue<String> {
+        private fun queueWithHistory(): FairQueue<String> {
             val queue = FairQueue<String>()
             repeat(100) { queue.offer(request("a"), 0) }
             repeat(50) { queue.poll(it * 100.milliseconds.inWholeNanoseconds) }
@@ -87,15 +87,15 @@
         }
 
         @Test
-        fun `is refused at once with the time until there is room`() {
+        fun `is refused at once with the expected wait`() {
             val now = 5.seconds.inWholeNanoseconds
-            val result = served().offer(request("a", latestStart = now + 1.seconds.inWholeNanoseconds), now)
+            val result = queueWithHistory().offer(request("a", latestStart = now + 1.seconds.inWholeNanoseconds), now)
 
             expectThat(result).isA<EnqueueResult.Refused>().get { retryAfter.inWholeSeconds }.isEqualTo(5)
         }
 
         @Test
-        fun `is handed out once its time has passed`() {
+        fun `expires once its latest start has passed`() {
             val queue = FairQueue<String>()
             queue.offer(request("a", latestStart = 10), 0)
             queue.offer(request("b"), 0)
--- a/decision/src/test/kotlin/dev/almondhaven/decision/limit/FleetShareTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/limit/FleetShareTest.kt
@@ -25,9 +25,9 @@
     ): Int = holders.sumOf { FleetShare.of("engine", limit, it, viewOf(it)) }
 
     @Nested
-    inner class `the parts of a limit` {
+    inner class `the shares of a limit` {
         @Test
-        fun `add up to it when all routers have one view`() {
+        fun `add up to the limit when all routers have the same view`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = 44), Arb.int(0..64), Arb.set(Arb.int(0..400), 1..370)) { limit, view ->
                     val members = routers(view)
@@ -53,9 +53,9 @@
     }
 
     @Nested
-    inner class `while a change of membership spreads` {
+    inner class `while a membership change spreads` {
         @Test
-        fun `the parts of routers with the old and the new view stay within the limit`() {
+        fun `the shares of routers with the old and the new view stay within the limit`() {
             runBlocking {
                 val members = Arb.set(Arb.int(0..40), 1..30)
                 checkAll(PropTestConfig(seed = 46), Arb.int(0..64), members, members, Arb.int(0..1_000)) {
@@ -81,16 +81,16 @@
     }
 
     @Nested
-    inner class `pooled shares` {
+    inner class `usage-based shares` {
         @Test
         fun `add up to the limit wherever the traffic arrives`() {
             runBlocking {
-                val uses = Arb.list(Arb.int(0..50), 1..62)
-                checkAll(PropTestConfig(seed = 47), Arb.int(1..2_000), uses) { limit, own ->
+                val usages = Arb.list(Arb.int(0..50), 1..62)
+                checkAll(PropTestConfig(seed = 47), Arb.int(1..2_000), usages) { limit, own ->
                     val fleet = own.sum().toDouble()
-                    val parts = own.sumOf { UsageBasedShare.of(limit.toDouble(), it.toDouble(), fleet, own.size) }
+                    val shares = own.sumOf { UsageBasedShare.of(limit.toDouble(), it.toDouble(), fleet, own.size) }
 
-                    expectThat(parts).isLessThanOrEqualTo(limit + 1e-6)
+                    expectThat(shares).isLessThanOrEqualTo(limit + 1e-6)
                 }
             }
         }
