--- a/decision/src/main/kotlin/dev/almondhaven/decision/billing/BillingOutbox.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/billing/BillingOutbox.kt
@@ -9,11 +9,13 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Bounds of a [BillingOutbox].
+ * Limits of a [BillingOutbox].
  *
- * @property maxRecords most records kept while the platform is down; further ones overflow.
+ * @property maxRecords most records kept, for example while the platform is down; further ones are lost.
+ * @property maxBatchRecords most records in one batch.
  * @property sealAfter longest time that a record waits for others before its batch is sealed and copied to a peer.
- * @property initialResendDelay least time before an unstored batch is sent to a writer again; doubles up to [maxResendDelay].
+ * @property initialResendDelay least time before an unstored batch is sent to a writer again; doubles up to
+ * [maxResendDelay].
  */
 public data class OutboxLimits(
     public val maxRecords: Int = 60_000,
@@ -24,8 +26,8 @@
 )
 
 /**
- * The records of one router that the platform doesn't hold yet. A batch stays until it is known to be stored, and is
- * sent again from time to time until then. Not safe for use from several threads.
+ * Holds the billing records of one router until the platform has stored them. A batch is resent with exponential
+ * backoff until it is known to be stored. Not safe for use from several threads.
  */
 public class BillingOutbox(
     private val self: RouterId,
@@ -34,26 +36,26 @@
     private class Unstored(
         val batch: SealedBatch,
         var sendAt: Long,
-        var pause: Duration,
-        var holder: RouterId? = null,
+        var resendDelay: Duration,
+        var copyHolder: RouterId? = null,
     )
 
-    private val open = ArrayList<BillingRecord>()
+    private val openRecords = ArrayList<BillingRecord>()
     private val unstored = LinkedHashMap<BatchName, Unstored>()
     private var openedAt = 0L
-    private var sealed = 0L
+    private var lastBatchNumber = 0L
 
-    /** Records held, sealed or not. */
+    /** Number of records held, sealed or not. */
     @Volatile
     public var held: Int = 0
         private set
 
-    /** Records that found no room and are lost. */
+    /** Number of records lost because the outbox was full. */
     @Volatile
     public var overflowed: Long = 0
         private set
 
-    /** Takes [record] at monotonic time [now]; false if there is no room. */
+    /** Adds [record] at monotonic time [now]; false if the outbox is full. */
     public fun add(
         record: BillingRecord,
         now: Long,
@@ -62,29 +64,29 @@
             overflowed++
             return false
         }
-        if (open.isEmpty()) openedAt = now
-        open += record
+        if (openRecords.isEmpty()) openedAt = now
+        openRecords += record
         held++
         return true
     }
 
-    /** Seals what is open if it is large or old enough, or if [force]; the new batch, to be copied to a peer. */
+    /** Seals the open records if they are enough or old enough, or if [force]; returns the batch to copy to a peer. */
     public fun seal(
         now: Long,
         wallMillis: Long,
         force: Boolean = false,
     ): SealedBatch? {
-        val due = open.size >= limits.maxBatchRecords || now - openedAt >= limits.sealAfter.inWholeNanoseconds
-        if (open.isEmpty() || !(due || force)) return null
-        sealed++
-        val batch = SealedBatch(BatchName(self, sealed), wallMillis, open.take(limits.maxBatchRecords))
-        open.subList(0, batch.records.size).clear()
+        val due = openRecords.size >= limits.maxBatchRecords || now - openedAt >= limits.sealAfter.inWholeNanoseconds
+        if (openRecords.isEmpty() || !(due || force)) return null
+        lastBatchNumber++
+        val batch = SealedBatch(BatchName(self, lastBatchNumber), wallMillis, openRecords.take(limits.maxBatchRecords))
+        openRecords.subList(0, batch.records.size).clear()
         openedAt = now
         unstored[batch.name] = Unstored(batch, now, limits.initialResendDelay)
         return batch
     }
 
-    /** Takes over a sealed [batch] of a router that is gone, whatever room there is. */
+    /** Takes over a sealed [batch] of a router that is gone, even if the outbox is full. */
     public fun adopt(
         batch: SealedBatch,
         now: Long,
@@ -94,57 +96,57 @@
         held += batch.records.size
     }
 
-    /** The batches of which no router among [live] is known to hold a copy, oldest first. */
+    /** The batches without a known copy on a router in [live], oldest first. */
     public fun withoutCopy(
         live: Set<RouterId>,
-        most: Int,
+        limit: Int,
     ): List<SealedBatch> =
         unstored.values
             .asSequence()
-            .filter { it.holder == null || it.holder !in live }
+            .filter { it.copyHolder == null || it.copyHolder !in live }
             .map { it.batch }
-            .take(most)
+            .take(limit)
             .toList()
 
-    /** The sealed batches that the platform isn't known to hold, oldest first. */
+    /** The sealed batches that aren't known to be stored, oldest first. */
     public fun unstored(): List<SealedBatch> = unstored.values.map { it.batch }
 
-    /** Reports that [holder] has a copy of the batch [name]. */
+    /** Records that [holder] has a copy of the batch [name]. */
     public fun markCopied(
         name: BatchName,
         holder: RouterId,
     ) {
-        unstored[name]?.holder = holder
+        unstored[name]?.copyHolder = holder
     }
 
-    /** The batches to send to a writer at [now], oldest first; each comes back later unless it is stored. */
+    /** The batches to send to a writer at [now], oldest first; each is due again later unless it is stored. */
     public fun takeDue(
         now: Long,
-        most: Int,
+        limit: Int,
     ): List<SealedBatch> {
-        val due = unstored.values.filter { now - it.sendAt >= 0 }.take(most)
+        val due = unstored.values.filter { now - it.sendAt >= 0 }.take(limit)
         due.forEach {
-            it.sendAt = now + it.pause.inWholeNanoseconds
-            it.pause = minOf(it.pause * 2, limits.maxResendDelay)
+            it.sendAt = now + it.resendDelay.inWholeNanoseconds
+            it.resendDelay = minOf(it.resendDelay * 2, limits.maxResendDelay)
         }
         return due.map { it.batch }
     }
 
-    /** Reports that the platform holds the batch [name]; true if it was waited for. */
+    /** Records that the platform stored the batch [name]; false if the outbox no longer held it. */
     public fun markStored(name: BatchName): Boolean {
-        val batch = unstored.remove(name) ?: return false
-        held -= batch.batch.records.size
+        val removed = unstored.remove(name) ?: return false
+        held -= removed.batch.records.size
         return true
     }
 
-    /** Makes every waiting batch due at [now]: the platform has just stored something, so an outage is over. */
+    /** Makes batches with a grown delay due at [now] and resets the delay: a store succeeded, so an outage has ended. */
     public fun resetResendDelays(now: Long) {
-        unstored.values.filter { it.pause > limits.initialResendDelay * 2 }.forEach {
+        unstored.values.filter { it.resendDelay > limits.initialResendDelay * 2 }.forEach {
             it.sendAt = now
-            it.pause = limits.initialResendDelay
+            it.resendDelay = limits.initialResendDelay
         }
     }
 
-    /** Makes every batch due at [now], whenever it was last sent. */
+    /** Makes every batch due at [now], regardless of when it was last sent. */
     public fun resendAllNow(now: Long): Unit = unstored.values.forEach { it.sendAt = now }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/billing/BillingStatement.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/billing/BillingStatement.kt
@@ -6,12 +6,13 @@
 import dev.almondhaven.model.RequestId
 
 /**
- * What the billing objects of the platform add up to, whatever was stored more than once.
+ * The billing records in the objects on the platform, with duplicates removed.
  *
- * @property records one record for each request, in order of time.
+ * @property records one record for each request, ordered by time.
  * @property duplicateBatches batches found in more than one object; harmless.
  * @property duplicateRequests requests with the same record in several batches; harmless.
- * @property conflictingRequests requests with unlike records; the first one counts, and somebody has to look.
+ * @property conflictingRequests requests with differing records. The first record counts; an operator has to
+ * investigate.
  */
 public data class BillingStatement(
     public val records: List<BillingRecord>,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/billing/PeerBatchCopies.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/billing/PeerBatchCopies.kt
@@ -7,37 +7,37 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Copies of other routers' batches, kept until their router says that the platform holds them, or is gone: then they
- * are handed over to this router's own outbox. Storing a batch twice bills it once, so handing over early is safe. Not
- * safe for use from several threads.
+ * Copies of other routers' batches. A copy is kept until the batch's router reports that the platform has stored it; if
+ * that router is gone, the copy moves to this router's own outbox. A batch that is stored twice is billed once, so
+ * moving it too early is safe. Not safe for use from several threads.
  */
 public class PeerBatchCopies(
-    private val mostRecords: Int = DEFAULT_MOST_RECORDS,
-    private val patience: Duration = 30.seconds,
+    private val maxRecords: Int = DEFAULT_MAX_RECORDS,
+    private val orphanTimeout: Duration = 30.seconds,
 ) {
     private val copies = LinkedHashMap<BatchName, SealedBatch>()
     private val missingSince = HashMap<RouterId, Long>()
 
-    /** Records held. */
+    /** Number of records held. */
     @Volatile
     public var records: Int = 0
         private set
 
-    /** Takes a copy; false if there is no room. */
+    /** Stores a copy; false if there is no room. */
     public fun hold(batch: SealedBatch): Boolean {
         if (batch.name in copies) return true
-        if (records + batch.records.size > mostRecords) return false
+        if (records + batch.records.size > maxRecords) return false
         copies[batch.name] = batch
         records += batch.records.size
         return true
     }
 
-    /** Drops the copies that their router said are stored. */
+    /** Drops the copies of the batches [names], which are stored or moved. */
     public fun release(names: List<BatchName>) {
         names.forEach { name -> copies.remove(name)?.let { records -= it.records.size } }
     }
 
-    /** Hands over the copies of routers that have been missing from [live] for longer than the patience at [now]. */
+    /** Removes and returns the copies of routers that have been missing from [live] for [orphanTimeout] at [now]. */
     public fun takeOrphans(
         live: Set<RouterId>,
         now: Long,
@@ -45,11 +45,11 @@
         val missing = copies.keys.map { it.router }.toSet() - live
         missingSince.keys.retainAll(missing)
         missing.forEach { missingSince.putIfAbsent(it, now) }
-        val gone = missingSince.filterValues { now - it >= patience.inWholeNanoseconds }.keys
+        val gone = missingSince.filterValues { now - it >= orphanTimeout.inWholeNanoseconds }.keys
         return copies.values.filter { it.name.router in gone }.also { orphans -> release(orphans.map { it.name }) }
     }
 
     private companion object {
-        const val DEFAULT_MOST_RECORDS = 60_000
+        const val DEFAULT_MAX_RECORDS = 60_000
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/billing/BillingPropertyTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/billing/BillingPropertyTest.kt
@@ -16,7 +16,7 @@
 import strikt.assertions.isTrue
 
 class BillingPropertyTest {
-    private fun simulations(omitted: OmittedBilling = OmittedBilling.NOTHING) =
+    private fun simulations(omitted: OmittedBillingRule = OmittedBillingRule.NONE) =
         (1L..SCHEDULES).asSequence().map { BillingSimulation(it, omitted).run() }
 
     private fun record(
@@ -30,7 +30,7 @@
     ) = SealedBatch(BatchName(RouterId("a"), number), 1, records.toList())
 
     @Nested
-    inner class `over thousands of schedules of faults` {
+    inner class `over thousands of random fault schedules` {
         @Test
         fun `every request whose batch was sealed is billed once`() {
             val wrong =
@@ -43,33 +43,33 @@
         }
 
         @Test
-        fun `routers are lost`() {
-            expectThat(simulations().take(100).sumOf { it.losses }).isGreaterThan(100)
+        fun `routers fail`() {
+            expectThat(simulations().take(100).sumOf { it.failures }).isGreaterThan(100)
         }
     }
 
     @Nested
-    inner class `the property fails` {
+    inner class `the property is violated` {
         @Test
-        fun `without the copy with a peer`() {
-            expectThat(simulations(OmittedBilling.COPY_WITH_PEER).any { it.unbilled.isNotEmpty() }).isTrue()
+        fun `without the copy on a peer`() {
+            expectThat(simulations(OmittedBillingRule.COPY_ON_PEER).any { it.unbilled.isNotEmpty() }).isTrue()
         }
 
         @Test
-        fun `without sending again`() {
-            expectThat(simulations(OmittedBilling.RESEND).any { it.unbilled.isNotEmpty() }).isTrue()
+        fun `without resending`() {
+            expectThat(simulations(OmittedBillingRule.RESEND).any { it.unbilled.isNotEmpty() }).isTrue()
         }
 
         @Test
-        fun `without one name for a batch and its records`() {
-            expectThat(simulations(OmittedBilling.ONE_NAME_PER_BATCH).any { it.unbilled.isNotEmpty() }).isTrue()
+        fun `if each send of a batch uses new names`() {
+            expectThat(simulations(OmittedBillingRule.STABLE_NAMES).any { it.unbilled.isNotEmpty() }).isTrue()
         }
     }
 
     @Nested
     inner class `a statement` {
         @Test
-        fun `counts repeats once and lists unlike records`() {
+        fun `counts duplicates once and lists conflicting records`() {
             val first = batch(1, record("one"), record("two"))
             val second = batch(2, record("two"), record("one", tokens = 5))
 
@@ -84,21 +84,21 @@
     @Nested
     inner class `an outbox` {
         @Test
-        fun `that waits long between tries sends again as soon as the platform stores anything`() {
+        fun `with grown resend delays resends as soon as the platform stores anything`() {
             val outbox = BillingOutbox(RouterId("a"))
             outbox.add(record("one"), now = 0)
             val batch = outbox.seal(now = 0, wallMillis = 1, force = true)!!
-            val tries = listOf(0L, 5L, 15L, 35L).map { outbox.takeDue(it * SECOND, most = 1).size }
-            val before = outbox.takeDue(40 * SECOND, most = 1)
+            val attempts = listOf(0L, 5L, 15L, 35L).map { outbox.takeDue(it * SECOND, limit = 1).size }
+            val before = outbox.takeDue(40 * SECOND, limit = 1)
 
             outbox.resetResendDelays(40 * SECOND)
 
-            expectThat(tries to before).isEqualTo(listOf(1, 1, 1, 1) to emptyList())
-            expectThat(outbox.takeDue(40 * SECOND, most = 1)).isEqualTo(listOf(batch))
+            expectThat(attempts to before).isEqualTo(listOf(1, 1, 1, 1) to emptyList())
+            expectThat(outbox.takeDue(40 * SECOND, limit = 1)).isEqualTo(listOf(batch))
         }
 
         @Test
-        fun `keeps an hour of records at the two-year rate and states what overflows`() {
+        fun `keeps an hour of records at the two-year rate and counts those that overflow`() {
             val outbox = BillingOutbox(RouterId("a"))
             val kept = (1..70_000).count { outbox.add(record("$it"), now = 0) }
 
--- a/decision/src/test/kotlin/dev/almondhaven/decision/billing/BillingSimulation.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/billing/BillingSimulation.kt
@@ -9,36 +9,36 @@
 import dev.almondhaven.model.RouterId
 import java.util.Random
 
-/** A rule that a billing simulation leaves out, to show that the properties rest on it. */
-internal enum class OmittedBilling { NOTHING, COPY_WITH_PEER, RESEND, ONE_NAME_PER_BATCH }
+/** A rule that a billing simulation leaves out to show that the properties depend on it. */
+internal enum class OmittedBillingRule { NONE, COPY_ON_PEER, RESEND, STABLE_NAMES }
 
 /**
- * Routers that bill requests while messages are lost, doubled and reordered, the platform is down or loses answers,
- * and at most one router at a time is lost.
+ * Simulates routers that bill requests while messages are lost, duplicated and reordered, the platform is down or loses
+ * responses, and at most one router at a time fails.
  */
 internal class BillingSimulation(
     seed: Long,
-    private val omitted: OmittedBilling = OmittedBilling.NOTHING,
+    private val omitted: OmittedBillingRule = OmittedBillingRule.NONE,
 ) {
     private val random = Random(seed)
     private val routers = ArrayList<SimulatedRouter>()
     private val messages = ArrayList<() -> Unit>()
     private val objects = LinkedHashMap<String, BillingObject>()
-    private val owed = HashSet<RequestId>()
+    private val billable = HashSet<RequestId>()
     private var now = 0L
     private var started = 0
     private var requests = 0
     private var down = false
-    private var lastLossAt = -QUIET_NANOS
+    private var lastFailureAt = -MIN_FAILURE_INTERVAL_NANOS
 
-    /** Routers lost. */
-    var losses = 0
+    /** Number of routers that failed. */
+    var failures = 0
         private set
 
-    /** Requests that are owed but not billed. */
-    val unbilled get() = owed - statement.records.map { it.request }.toSet()
+    /** Requests that must be billed but are not. */
+    val unbilled get() = billable - statement.records.map { it.request }.toSet()
 
-    /** What the platform holds adds up to this. */
+    /** The statement of the objects on the platform. */
     val statement get() = BillingStatement.of(objects.values.asSequence())
 
     private inner class SimulatedRouter {
@@ -47,8 +47,8 @@
         val copies = PeerBatchCopies()
         val waiting = LinkedHashMap<BatchName, SealedBatch>()
 
-        /** Routers of which copies may be held. */
-        val copyOf = HashSet<RouterId>()
+        /** Routers whose batches may have copies here. */
+        val copiedRouters = HashSet<RouterId>()
         var alive = true
         private var renamed = 0
 
@@ -60,32 +60,32 @@
             outbox.seal(now, now / NANOS_PER_MILLI)
             val live = routers.map { it.id }.toSet()
             outbox.withoutCopy(live, 10).forEach { copyToPeer(it) }
-            if (omitted != OmittedBilling.RESEND || now < QUIET_NANOS) {
+            if (omitted != OmittedBillingRule.RESEND || now < MIN_FAILURE_INTERVAL_NANOS) {
                 outbox.takeDue(now, 10).forEach { batch -> send { it.waiting[named(batch).name] = named(batch) } }
             }
             copies.takeOrphans(live, now).forEach { outbox.adopt(it, now) }
-            if (copies.records == 0) copyOf.clear()
+            if (copies.records == 0) copiedRouters.clear()
         }
 
         private fun hold(batch: SealedBatch) {
             copies.hold(batch)
-            copyOf += batch.name.router
+            copiedRouters += batch.name.router
         }
 
-        /** The records count as owed once the peer has its copy; until then they can be lost with their router. */
+        /** The records must be billed once the peer has its copy; until then they can be lost with their router. */
         private fun copyToPeer(batch: SealedBatch) {
             val peer = others().first()
             repeat(random.nextInt(3)) {
                 messages += {
-                    if (peer.alive && omitted != OmittedBilling.COPY_WITH_PEER) peer.hold(batch)
+                    if (peer.alive && omitted != OmittedBillingRule.COPY_ON_PEER) peer.hold(batch)
                     if (peer.alive) messages += { outbox.markCopied(batch.name, peer.id) }
-                    if (peer.alive && alive) owed += batch.records.map { it.request }
+                    if (peer.alive && alive) billable += batch.records.map { it.request }
                 }
             }
         }
 
         private fun named(batch: SealedBatch): SealedBatch =
-            if (omitted == OmittedBilling.ONE_NAME_PER_BATCH) {
+            if (omitted == OmittedBillingRule.STABLE_NAMES) {
                 batch.copy(
                     name = BatchName(id, 1_000_000L + renamed++),
                     records = batch.records.map { it.copy(request = RequestId("${it.request}-$renamed")) },
@@ -119,54 +119,55 @@
         }
     }
 
-    /** Runs [steps] random steps, then lets everything come to rest. */
+    /** Runs [steps] random steps with faults, then twice as many without them. */
     fun run(steps: Int = 1_000): BillingSimulation {
         repeat(3) { routers += SimulatedRouter() }
-        repeat(steps) { step(disturb = true) }
+        repeat(steps) { step(withFaults = true) }
         down = false
-        repeat(steps * 2) { step(disturb = false) }
+        repeat(steps * 2) { step(withFaults = false) }
         return this
     }
 
-    private fun step(disturb: Boolean) {
-        // At rest time runs faster, so that the longest pauses before sending again pass many times.
-        now += random.nextInt(if (disturb) 200 else 1_000) * NANOS_PER_MILLI
+    private fun step(withFaults: Boolean) {
+        // Without faults time runs faster, so that the longest resend delay passes many times.
+        now += random.nextInt(if (withFaults) 200 else 1_000) * NANOS_PER_MILLI
         val router = routers[random.nextInt(routers.size)]
         when (random.nextInt(100)) {
-            in 0..1 -> if (disturb && settled()) lose(router)
-            in 2..4 -> if (disturb) down = !down
-            in 5..20 -> if (disturb) router.bill()
+            in 0..1 -> if (withFaults && recovered()) fail(router)
+            in 2..4 -> if (withFaults) down = !down
+            in 5..20 -> if (withFaults) router.bill()
             in 21..50 -> router.tick()
             in 51..70 -> router.write()
-            else -> repeat(DELIVERIES) { deliver() }
+            else -> repeat(DELIVERIES_PER_STEP) { deliverRandomMessage() }
         }
     }
 
-    private fun deliver() {
+    private fun deliverRandomMessage() {
         if (messages.isNotEmpty()) messages.removeAt(random.nextInt(messages.size))()
     }
 
-    /** Whether the last loss is over: its orphans are adopted, and every batch has its copy again. */
-    private fun settled(): Boolean {
+    /** Whether the fleet has recovered from the last failure: orphans are adopted and every batch has a copy again. */
+    private fun recovered(): Boolean {
         val live = routers.map { it.id }.toSet()
-        val orphaned = routers.any { holder -> holder.copyOf.any { it !in live } }
-        return now - lastLossAt > QUIET_NANOS && !orphaned && routers.all { it.outbox.withoutCopy(live, 1).isEmpty() }
+        val orphaned = routers.any { holder -> holder.copiedRouters.any { it !in live } }
+        return now - lastFailureAt > MIN_FAILURE_INTERVAL_NANOS && !orphaned &&
+            routers.all { it.outbox.withoutCopy(live, 1).isEmpty() }
     }
 
-    private fun lose(router: SimulatedRouter) {
-        lastLossAt = now
-        losses++
+    private fun fail(router: SimulatedRouter) {
+        lastFailureAt = now
+        failures++
         router.alive = false
         routers -= router
         routers += SimulatedRouter()
     }
 
     private companion object {
-        /** Messages of one step; fewer than are sent would let them pile up without end. */
-        const val DELIVERIES = 10
+        /** Messages delivered in one step; at fewer than are sent they would accumulate without bound. */
+        const val DELIVERIES_PER_STEP = 10
         const val NANOS_PER_MILLI = 1_000_000L
 
-        /** Time that a loss takes to settle before the next one. */
-        const val QUIET_NANOS = 40_000 * NANOS_PER_MILLI
+        /** Least time between two failures, so that the fleet can recover from the first. */
+        const val MIN_FAILURE_INTERVAL_NANOS = 40_000 * NANOS_PER_MILLI
     }
 }
