--- a/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionPin.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionPin.kt
@@ -15,10 +15,10 @@
 }
 
 /**
- * The version that a session runs on.
+ * Pins a session to a model version.
  *
  * @property issuedAt epoch milliseconds at which the session began, or its token was last renewed.
- * @property moves how often the session has moved off a withdrawn version.
+ * @property moves how many times the session has moved off a withdrawn version.
  */
 @Serializable
 public data class SessionPin(
@@ -27,12 +27,15 @@
     public val issuedAt: Long,
     public val moves: Int = 0,
 ) {
-    /** This session on [successor] of its withdrawn version. */
+    /** The pin after a move from the withdrawn version to its [successor]. */
     public fun movedTo(successor: ModelVersionId): SessionPin = copy(version = successor, moves = moves + 1)
 
-    /** Of two pins of one session the one that every router keeps: the older start, then the one that has moved on. */
-    public fun merge(other: SessionPin): SessionPin = minOf(this, other, MOST_BINDING_FIRST)
+    /**
+     * Resolves two pins of one session to the same one on every router: the earlier issued, then the one with more
+     * moves.
+     */
+    public fun merge(other: SessionPin): SessionPin = minOf(this, other, MERGE_ORDER)
 }
 
-private val MOST_BINDING_FIRST: Comparator<SessionPin> =
+private val MERGE_ORDER: Comparator<SessionPin> =
     compareBy({ it.issuedAt }, { -it.moves }, { it.version.toString() })
--- a/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionTokens.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionTokens.kt
@@ -12,21 +12,22 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Why a session token is worth nothing. */
+/** Why a session token is rejected. */
 public enum class SessionTokenError(
     public val detail: String,
 ) {
-    MALFORMED("the session token is damaged"),
+    MALFORMED("the session token is malformed"),
     UNKNOWN_KEY("the session token is signed with a key that this router doesn't hold"),
     FORGED("the session token's signature doesn't match"),
-    EXPIRED("the session token is too old"),
+    EXPIRED("the session token has expired"),
     OTHER_ORGANISATION("the session token belongs to another organisation"),
 }
 
 /**
  * A verified token.
  *
- * @property needsRenewal whether the token should be replaced: its key is no longer the signing one, or it is old.
+ * @property needsRenewal whether the token should be replaced, because it wasn't signed with the current signing key or
+ * has passed half of its maximum age.
  */
 public data class VerifiedToken(
     public val pin: SessionPin,
@@ -34,8 +35,9 @@
 )
 
 /**
- * Signs and verifies session tokens, `v1.KEY.PAYLOAD.SIGNATURE`. Every key verifies and the key [signWith] signs, so
- * that a new key is first added everywhere, then signs, and an old one is removed once its tokens have expired.
+ * Signs and verifies session tokens of the form `v1.KEY.PAYLOAD.SIGNATURE`. All keys verify, but only the key
+ * [signWith] signs. To rotate keys, the new key is first added to every router, then used to sign, and the old one is
+ * removed once its tokens have expired.
  */
 public class SessionTokens(
     keys: List<SessionSigningKey>,
@@ -45,21 +47,24 @@
     private val keysById = keys.associateBy { it.id }
     private val signingKey = requireNotNull(keysById[signWith]) { "no key '$signWith' among ${keysById.keys}" }
 
-    /** The token that carries [pin]. */
+    /** Returns a signed token that carries [pin]. */
     public fun issue(pin: SessionPin): String {
         val payload = encoder.encodeToString(json.encodeToString(SessionPin.serializer(), pin).toByteArray())
-        val signed = "$FORMAT.${signingKey.id}.$payload"
+        val signed = "$FORMAT_VERSION.${signingKey.id}.$payload"
         return "$signed.${encoder.encodeToString(signingKey.sign(signed))}"
     }
 
-    /** The pin in [token] if it is genuine, of [organisation] and not too old at [now] (epoch milliseconds). */
+    /**
+     * Returns the pin in [token] if its signature and [organisation] match and it isn't expired at [now], epoch
+     * milliseconds.
+     */
     public fun verify(
         token: String,
         organisation: OrganisationId,
         now: Long,
     ): Either<SessionTokenError, VerifiedToken> {
         val parts = token.split('.')
-        if (parts.size != PARTS || parts[0] != FORMAT) return SessionTokenError.MALFORMED.left()
+        if (parts.size != PART_COUNT || parts[0] != FORMAT_VERSION) return SessionTokenError.MALFORMED.left()
         val key = keysById[parts[1]] ?: return SessionTokenError.UNKNOWN_KEY.left()
         val signature = decode(parts[3]) ?: return SessionTokenError.MALFORMED.left()
         val expected = key.sign(token.substringBeforeLast('.'))
@@ -98,8 +103,8 @@
         }
 
     private companion object {
-        const val FORMAT = "v1"
-        const val PARTS = 4
+        const val FORMAT_VERSION = "v1"
+        const val PART_COUNT = 4
         val json = Json { ignoreUnknownKeys = true }
         val encoder: Base64.Encoder = Base64.getUrlEncoder().withoutPadding()
         val decoder: Base64.Decoder = Base64.getUrlDecoder()
--- a/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionVersionResolver.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/session/SessionVersionResolver.kt
@@ -9,19 +9,19 @@
 import dev.almondhaven.model.ModelVersionId
 import dev.almondhaven.model.OrganisationId
 
-/** Why a session can't go on. */
+/** Why a session can't be continued. */
 public sealed interface SessionRefusal {
-    /** The version, or a successor of it, is withdrawn and names no further successor. */
+    /** The version, or one of its successors, is withdrawn and names no further successor. */
     public data class Withdrawn(
         public val version: ModelVersionId,
     ) : SessionRefusal
 
-    /** The organisation may not use the version that the session would run on. */
+    /** The organisation isn't allowed to use the version that the session would run on. */
     public data class NotAllowed(
         public val version: ModelVersionId,
     ) : SessionRefusal
 
-    /** The catalogue doesn't hold the version; another router may hold a newer one. */
+    /** The catalogue doesn't contain the version; another router may have a newer catalogue. */
     public data class Unknown(
         public val version: ModelVersionId,
     ) : SessionRefusal
@@ -30,20 +30,20 @@
 /** Decides which version a session's next request runs on. */
 public object SessionVersionResolver {
     /**
-     * The version itself while it is in service, otherwise the first version in service along the successors.
-     * Withdrawal wins over the session; a version that is in service is never left.
+     * Returns [version] itself while it is in service, otherwise the first version in service along its successors. A
+     * session leaves a version only when that is withdrawn, and then always.
      */
     public fun resolve(
         index: CatalogueIndex,
         organisation: OrganisationId,
         version: ModelVersionId,
     ): Either<SessionRefusal, ModelVersionId> {
-        val found = inService(index, version).fold({ return it.left() }, { it })
-        val allowed = index.mayRun(organisation, found.id)
-        return if (allowed) found.id.right() else SessionRefusal.NotAllowed(found.id).left()
+        val resolved = firstInService(index, version).fold({ return it.left() }, { it })
+        val allowed = index.mayRun(organisation, resolved.id)
+        return if (allowed) resolved.id.right() else SessionRefusal.NotAllowed(resolved.id).left()
     }
 
-    private fun inService(
+    private fun firstInService(
         index: CatalogueIndex,
         start: ModelVersionId,
     ): Either<SessionRefusal, ModelVersion> {
--- a/decision/src/test/kotlin/dev/almondhaven/decision/session/SessionTokensTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/session/SessionTokensTest.kt
@@ -38,7 +38,7 @@
         }
 
         @Test
-        fun `lives through a rotation of keys`() {
+        fun `stays valid through a key rotation`() {
             val added = SessionTokens(listOf(march, april), "march", 10.hours)
             val signing = SessionTokens(listOf(march, april), "april", 10.hours)
             val removed = SessionTokens(listOf(april), "april", 10.hours)
@@ -60,7 +60,7 @@
         }
 
         @Test
-        fun `is renewed in its second half and refused past its age`() {
+        fun `needs renewal in the second half of its maximum age and is refused after it`() {
             val token = inMarch.issue(pin)
 
             expectThat(inMarch.verify(token, roofers, 6.hoursLater()))
@@ -81,7 +81,7 @@
         }
 
         @Test
-        fun `of any text is refused without failing`() {
+        fun `of arbitrary text is refused without an exception`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = 4_082, iterations = 500), Arb.string()) { text ->
                     expectThat(inMarch.verify(text, roofers, now = 1).isLeft()).isTrue()
--- a/decision/src/test/kotlin/dev/almondhaven/decision/session/SessionVersionResolverTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/session/SessionVersionResolverTest.kt
@@ -58,7 +58,7 @@
     @Nested
     inner class `a session` {
         @Test
-        fun `keeps a version in service, also when a newer one is rolled out`() {
+        fun `keeps a version in service, even when a newer one is rolled out`() {
             expectThat(index(version("1"), version("2")).resolve("1")).isEqualTo(id("1").right())
         }
 
@@ -70,13 +70,13 @@
         }
 
         @Test
-        fun `without a successor is refused`() {
+        fun `on a withdrawn version without a successor is refused`() {
             expectThat(index(version("1", withdrawn = true)).resolve("1"))
                 .isEqualTo(SessionRefusal.Withdrawn(id("1")).left())
         }
 
         @Test
-        fun `whose successors go in a circle is refused`() {
+        fun `whose successors form a cycle is refused`() {
             val index = index(version("1", successor = "2"), version("2", successor = "1"))
 
             expectThat(index.resolve("1")).isEqualTo(SessionRefusal.Withdrawn(id("1")).left())
@@ -89,7 +89,7 @@
         }
 
         @Test
-        fun `on a version that this catalogue doesn't hold yet is refused as unknown`() {
+        fun `on a version that isn't in this catalogue is refused as unknown`() {
             expectThat(index(version("1")).resolve("2")).isEqualTo(SessionRefusal.Unknown(id("2")).left())
         }
     }
