--- a/decision/src/main/kotlin/dev/almondhaven/decision/lease/Lease.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/lease/Lease.kt
@@ -3,9 +3,10 @@
 import dev.almondhaven.model.RouterId
 
 /**
- * One router's side of a lease that at most one router holds at a time. Safety rests on conditional writes and on spans
- * of monotonic clocks: the holder counts its term from before each write, a successor from after it has seen the last
- * one, and then waits for the longest order as well.
+ * One router's side of a lease that at most one router holds at a time. Safety rests on compare-and-set writes and on
+ * durations measured with monotonic clocks: the holder counts its term from before it sends each write; a successor
+ * counts the term from after it has read the last write, and then also waits until the holder's last orders to engines
+ * can no longer take effect.
  *
  * Not safe for use by several threads. Times are nanoseconds of one monotonic clock.
  */
@@ -14,56 +15,56 @@
     private val settings: LeaseSettings = LeaseSettings(),
     private val newAttempt: () -> String,
 ) {
-    private var seen: VersionedLease? = null
-    private var seenAt = 0L
+    private var lastSeen: VersionedLease? = null
+    private var lastSeenAt = 0L
     private var lastReadAt = 0L
-    private var known = false
-    private var underWay: Attempt? = null
-    private var unsettled: Attempt? = null
-    private var held: Held? = null
+    private var recordKnown = false
+    private var pendingWrite: PendingWrite? = null
+    private var unconfirmedWrite: PendingWrite? = null
+    private var heldLease: HeldLease? = null
 
-    private class Attempt(
+    private class PendingWrite(
         val record: LeaseRecord,
-        val askedAt: Long,
+        val sentAt: Long,
     )
 
-    private class Held(
+    private class HeldLease(
         val record: LeaseRecord,
         val version: Long,
         val since: Long,
     )
 
-    /** The fencing number to order with at [now]; null when this router must give no order. */
+    /** The fencing token for orders sent at [now]; null if this router must not send any. */
     public fun fencingToken(now: Long): Long? {
-        val lease = held ?: return null
+        val lease = heldLease ?: return null
         val usable = settings.term - settings.margin
         return lease.record.fencing.takeIf { now - lease.since < usable.inWholeNanoseconds }
     }
 
-    /** The call to make at [now], if any; [wanted] tells whether this router ought to hold the lease. */
+    /** The call to make at [now], if any; [wanted] tells whether this router should hold the lease. */
     public fun next(
         now: Long,
         wanted: Boolean,
     ): LeaseCall? {
-        if (underWay != null) return null
-        val lease = held
+        if (pendingWrite != null) return null
+        val lease = heldLease
         return when {
             !wanted && lease == null -> null
-            !known || unsettled != null -> LeaseCall.Read
-            lease != null && fencingToken(now) == null -> lapsed()
+            !recordKnown || unconfirmedWrite != null -> LeaseCall.Read
+            lease != null && fencingToken(now) == null -> restartAfterLapse()
             lease != null -> renewal(now, lease, wanted)
             else -> takeover(now)
         }
     }
 
-    private fun lapsed(): LeaseCall {
-        forget()
+    private fun restartAfterLapse(): LeaseCall {
+        reset()
         return LeaseCall.Read
     }
 
     private fun renewal(
         now: Long,
-        lease: Held,
+        lease: HeldLease,
         wanted: Boolean,
     ): LeaseCall? {
         val due = now - lease.since >= settings.renewInterval.inWholeNanoseconds
@@ -71,9 +72,9 @@
     }
 
     private fun takeover(now: Long): LeaseCall? {
-        val other = seen ?: return write(now, FIRST_FENCING, version = null)
-        val wait = if (other.record.holder == self) settings.orderLifetime else settings.wait
-        if (now - seenAt >= wait.inWholeNanoseconds) return write(now, other.record.fencing + 1, other.version)
+        val current = lastSeen ?: return write(now, FIRST_FENCING_TOKEN, version = null)
+        val delay = if (current.record.holder == self) settings.orderLifetime else settings.takeoverDelay
+        if (now - lastSeenAt >= delay.inWholeNanoseconds) return write(now, current.record.fencing + 1, current.version)
         return LeaseCall.Read.takeIf { now - lastReadAt >= settings.renewInterval.inWholeNanoseconds }
     }
 
@@ -83,64 +84,64 @@
         version: Long?,
     ): LeaseCall {
         val record = LeaseRecord(self, fencing, newAttempt())
-        underWay = Attempt(record, now)
+        pendingWrite = PendingWrite(record, now)
         return LeaseCall.Write(record, version)
     }
 
-    /** A [LeaseCall.Read] was answered at [now]; [found] is null when there is no record. */
+    /** Reports the result of a [LeaseCall.Read] at [now]; [found] is null if there is no record. */
     public fun onRead(
         now: Long,
         found: VersionedLease?,
     ) {
         lastReadAt = now
-        known = true
-        if (found?.version != seen?.version) {
-            seen = found
-            seenAt = now
+        recordKnown = true
+        if (found?.version != lastSeen?.version) {
+            lastSeen = found
+            lastSeenAt = now
         }
-        settle(found)
+        resolveUnconfirmedWrite(found)
     }
 
-    private fun settle(found: VersionedLease?) {
-        val attempt = unsettled ?: return
-        unsettled = null
+    private fun resolveUnconfirmedWrite(found: VersionedLease?) {
+        val attempt = unconfirmedWrite ?: return
+        unconfirmedWrite = null
         if (found?.record == attempt.record) {
-            held = Held(attempt.record, found.version, attempt.askedAt)
-        } else if (found?.version != held?.version) {
-            held = null
+            heldLease = HeldLease(attempt.record, found.version, attempt.sentAt)
+        } else if (found?.version != heldLease?.version) {
+            heldLease = null
         }
     }
 
-    /** A [LeaseCall.Write] took effect as [version]. */
+    /** Reports that a [LeaseCall.Write] took effect as [version]. */
     public fun onWritten(
         now: Long,
         version: Long,
     ) {
-        val attempt = checkNotNull(underWay) { "no write is under way" }
-        underWay = null
-        held = Held(attempt.record, version, attempt.askedAt)
-        seen = VersionedLease(attempt.record, version)
-        seenAt = now
+        val attempt = checkNotNull(pendingWrite) { "no write is pending" }
+        pendingWrite = null
+        heldLease = HeldLease(attempt.record, version, attempt.sentAt)
+        lastSeen = VersionedLease(attempt.record, version)
+        lastSeenAt = now
     }
 
-    /** A [LeaseCall.Write] found another version and had no effect. */
-    public fun onConflict(): Unit = forget()
+    /** Reports that a [LeaseCall.Write] found another version and had no effect. */
+    public fun onConflict(): Unit = reset()
 
-    /** A call had no answer; a write may have taken effect or may still do so. */
+    /** Reports that a call got no response; a write may have taken effect or may still do so. */
     public fun onFailure() {
-        unsettled = underWay ?: unsettled
-        underWay = null
+        unconfirmedWrite = pendingWrite ?: unconfirmedWrite
+        pendingWrite = null
     }
 
-    private fun forget() {
-        underWay = null
-        unsettled = null
-        held = null
-        seen = null
-        known = false
+    private fun reset() {
+        pendingWrite = null
+        unconfirmedWrite = null
+        heldLease = null
+        lastSeen = null
+        recordKnown = false
     }
 
     private companion object {
-        const val FIRST_FENCING = 1L
+        const val FIRST_FENCING_TOKEN = 1L
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/lease/LeaseRecord.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/lease/LeaseRecord.kt
@@ -4,10 +4,11 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The object at which a lease is kept.
+ * The record of a lease, stored as one object on the platform.
  *
- * @property fencing number that every order under this lease carries; each new holder's is higher.
- * @property attempt names the write that made this record, so that a write without an answer can be recognised.
+ * @property fencing fencing token that every order under this lease carries; it increases with each new holder.
+ * @property attempt identifies the write that created this record, so that a write without a response can be
+ * recognised.
  */
 @Serializable
 public data class LeaseRecord(
@@ -16,13 +17,13 @@
     public val attempt: String,
 )
 
-/** A [LeaseRecord] as the platform returned it with its version, which changes with every write. */
+/** A [LeaseRecord] with its object version on the platform, which changes with every write. */
 public data class VersionedLease(
     public val record: LeaseRecord,
     public val version: Long,
 )
 
-/** What a lease needs from the platform. */
+/** A call to the platform that a [Lease] asks its caller to make. */
 public sealed interface LeaseCall {
     /** Read the record; report to [Lease.onRead] or [Lease.onFailure]. */
     public data object Read : LeaseCall
--- a/decision/src/main/kotlin/dev/almondhaven/decision/lease/LeaseSettings.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/lease/LeaseSettings.kt
@@ -4,11 +4,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Times of a lease. Each router measures spans with its own monotonic clock; no two clocks are compared.
+ * Durations of a lease. Each router measures them with its own monotonic clock; clocks are never compared.
  *
- * @property term how long the holder counts on a write, from the moment it was asked for.
+ * @property term how long a write makes the router the holder, counted from the moment the write was sent.
  * @property renewInterval time between two renewals.
- * @property margin time before the end of the term at which the holder stops giving orders.
+ * @property margin time before the end of the term at which the holder stops sending orders.
  * @property orderLifetime time after which an order that was sent can no longer take effect.
  */
 public data class LeaseSettings(
@@ -18,9 +18,11 @@
     public val orderLifetime: Duration = 5.seconds,
 ) {
     init {
-        require(renewInterval + margin < term) { "no time to renew: term $term, every $renewInterval, margin $margin" }
+        require(renewInterval + margin < term) {
+            "renewInterval $renewInterval and margin $margin must be less than term $term in total"
+        }
     }
 
-    /** How long a successor waits after it first saw the newest version of another holder's record. */
-    internal val wait: Duration get() = term + orderLifetime
+    /** How long a successor waits after it first read the newest version of another holder's record. */
+    internal val takeoverDelay: Duration get() = term + orderLifetime
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/lease/LeaseSimulation.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/lease/LeaseSimulation.kt
@@ -7,32 +7,32 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Routers, a platform that loses answers and applies writes late, and one engine, in virtual time.
+ * Simulates routers, a platform that loses responses and applies writes late, and one engine, in virtual time.
  *
- * @property honoursFencing whether the engine refuses orders with an old fencing number.
- * @property longestHesitation longest pause of a router between its last look at the lease and sending the order.
+ * @property honoursFencing whether the engine refuses orders with an old fencing token.
+ * @property maxSendDelay longest pause of a router between its last check of the lease and sending the order.
  */
-internal class LeaseModel(
+internal class LeaseSimulation(
     seed: Long,
     private val settings: LeaseSettings,
     private val honoursFencing: Boolean,
-    private val longestHesitation: Duration,
+    private val maxSendDelay: Duration,
     successorSettings: LeaseSettings = settings,
 ) {
     private val random = Random(seed)
     private var now = 0L
     private var stored: VersionedLease? = null
-    private var earlier: VersionedLease? = null
+    private var previous: VersionedLease? = null
     private var version = 0L
     private var attempts = 0
     private val events = mutableListOf<Event>()
-    private var highestAccepted = 0L
+    private var highestFencing = 0L
     private val routers = List(ROUTERS) { Router(it, if (it == 0) settings else successorSettings) }
 
-    /** Orders that took effect although a later holder could already give orders, or had. */
+    /** Orders that took effect although a later holder could already send orders, or had sent some. */
     val violations = mutableListOf<String>()
 
-    /** Orders that took effect. */
+    /** Number of orders that took effect. */
     var accepted = 0
         private set
 
@@ -52,7 +52,7 @@
 
         fun step() {
             if (now < pausedUntil) return
-            if (random.nextInt(400) == 0) pausedUntil = now + random.nextLong(LONGEST_PAUSE.inWholeNanoseconds)
+            if (random.nextInt(400) == 0) pausedUntil = now + random.nextLong(MAX_PAUSE.inWholeNanoseconds)
             when (val call = lease.next(clock, wanted = random.nextInt(20) > 0)) {
                 null -> Unit
                 LeaseCall.Read -> read()
@@ -62,31 +62,44 @@
         }
 
         private fun read() {
-            val found = if (random.nextInt(10) == 0) earlier else stored
+            val found = if (random.nextInt(10) == 0) previous else stored
             if (random.nextInt(10) == 0) lease.onFailure() else lease.onRead(clock, found)
         }
 
         private fun write(call: LeaseCall.Write) {
             when (random.nextInt(6)) {
-                0 -> lease.onFailure()
-                1 -> apply(call).also { lease.onFailure() }
-                2 -> later(random.nextLong(LATEST_WRITE.inWholeNanoseconds)) { apply(call) }.also { lease.onFailure() }
-                else -> apply(call)?.let { lease.onWritten(clock, it) } ?: lease.onConflict()
+                0 -> {
+                    lease.onFailure()
+                }
+
+                1 -> {
+                    apply(call)
+                    lease.onFailure()
+                }
+
+                2 -> {
+                    later(random.nextLong(MAX_WRITE_DELAY.inWholeNanoseconds)) { apply(call) }
+                    lease.onFailure()
+                }
+
+                else -> {
+                    apply(call)?.let { lease.onWritten(clock, it) } ?: lease.onConflict()
+                }
             }
         }
 
         private fun order() {
             val fencing = lease.fencingToken(clock) ?: return
-            val hesitation = random.nextLong(longestHesitation.inWholeNanoseconds + 1)
-            pausedUntil = maxOf(pausedUntil, now + hesitation)
+            val sendDelay = random.nextLong(maxSendDelay.inWholeNanoseconds + 1)
+            pausedUntil = maxOf(pausedUntil, now + sendDelay)
             val transit = random.nextLong(settings.orderLifetime.inWholeNanoseconds)
-            later(hesitation + transit) { arrive(fencing) }
+            later(sendDelay + transit) { arrive(fencing) }
         }
     }
 
     private fun apply(call: LeaseCall.Write): Long? {
         if (stored?.version != call.version) return null
-        earlier = stored
+        previous = stored
         stored = VersionedLease(call.record, ++version)
         return version
     }
@@ -99,14 +112,14 @@
     }
 
     private fun arrive(fencing: Long) {
-        if (honoursFencing && fencing < highestAccepted) return
-        val newest = if (honoursFencing) highestAccepted else routers.maxOf { it.lease.fencingToken(it.clock) ?: 0 }
-        if (fencing < maxOf(newest, highestAccepted)) violations += "order of $fencing after $newest at $now"
-        highestAccepted = maxOf(highestAccepted, fencing)
+        if (honoursFencing && fencing < highestFencing) return
+        val newest = if (honoursFencing) highestFencing else routers.maxOf { it.lease.fencingToken(it.clock) ?: 0 }
+        if (fencing < maxOf(newest, highestFencing)) violations += "order of $fencing after $newest at $now"
+        highestFencing = maxOf(highestFencing, fencing)
         accepted++
     }
 
-    /** Lets [span] pass. */
+    /** Advances virtual time by [span]. */
     fun run(span: Duration) {
         val end = now + span.inWholeNanoseconds
         while (now < end) {
@@ -122,7 +135,7 @@
         const val ROUTERS = 3
         const val DAY_NANOS = 86_400_000_000_000L
         val STEP: Duration = 250.milliseconds
-        val LONGEST_PAUSE: Duration = 90.seconds
-        val LATEST_WRITE: Duration = 60.seconds
+        val MAX_PAUSE: Duration = 90.seconds
+        val MAX_WRITE_DELAY: Duration = 60.seconds
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/lease/LeaseTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/lease/LeaseTest.kt
@@ -22,45 +22,45 @@
         val accepted: Int,
     )
 
-    /** Runs every schedule of the fixed seed on models that [create] makes. */
-    private fun schedules(create: (Long) -> LeaseModel): Totals {
+    /** Runs simulations that [create] makes for the schedules of a fixed seed. */
+    private fun schedules(create: (Long) -> LeaseSimulation): Totals {
         val violations = mutableListOf<String>()
         var accepted = 0
         runBlocking {
             checkAll(PropTestConfig(seed = 7_5, iterations = SCHEDULES), Arb.long()) { seed ->
-                val model = create(seed)
-                model.run(SPAN)
-                violations += model.violations.map { "seed $seed: $it" }
-                accepted += model.accepted
+                val simulation = create(seed)
+                simulation.run(SPAN)
+                violations += simulation.violations.map { "seed $seed: $it" }
+                accepted += simulation.accepted
             }
         }
         return Totals(violations, accepted)
     }
 
-    private fun ignoring(
+    private fun ignoringFencing(
         seed: Long,
         holder: LeaseSettings = settings,
         successor: LeaseSettings = holder,
-    ) = LeaseModel(seed, holder, honoursFencing = false, settings.margin, successor)
+    ) = LeaseSimulation(seed, holder, honoursFencing = false, settings.margin, successor)
 
-    private fun honouring(
+    private fun honouringFencing(
         seed: Long,
         honours: Boolean = true,
-    ) = LeaseModel(seed, settings, honours, LONG_PAUSE)
+    ) = LeaseSimulation(seed, settings, honours, MAX_SEND_DELAY)
 
     @Nested
-    inner class `over pauses, lost answers, late writes and stale reads` {
+    inner class `over pauses, lost responses, late writes and stale reads` {
         @Test
-        fun `an engine that ignores fencing gets no order of a lapsed holder`() {
-            val totals = schedules { ignoring(it) }
+        fun `an engine that ignores fencing gets no order from a lapsed holder`() {
+            val totals = schedules { ignoringFencing(it) }
 
             expectThat(totals.violations).isEmpty()
             expectThat(totals.accepted).isGreaterThan(SCHEDULES)
         }
 
         @Test
-        fun `an engine that honours fencing obeys none, however long the holder hesitates`() {
-            val totals = schedules { honouring(it) }
+        fun `an engine that honours fencing refuses orders of a lapsed holder, however late they are sent`() {
+            val totals = schedules { honouringFencing(it) }
 
             expectThat(totals.violations).isEmpty()
             expectThat(totals.accepted).isGreaterThan(SCHEDULES)
@@ -68,30 +68,30 @@
     }
 
     @Nested
-    inner class `the property fails` {
+    inner class `the property is violated` {
         @Test
-        fun `with the margin switched off`() {
-            val careless = settings.copy(margin = Duration.ZERO)
+        fun `without the margin`() {
+            val withoutMargin = settings.copy(margin = Duration.ZERO)
 
-            expectThat(schedules { ignoring(it, careless) }.violations.size).isGreaterThan(0)
+            expectThat(schedules { ignoringFencing(it, withoutMargin) }.violations.size).isGreaterThan(0)
         }
 
         @Test
-        fun `with fencing switched off`() {
-            expectThat(schedules { honouring(it, honours = false) }.violations.size).isGreaterThan(0)
+        fun `without fencing`() {
+            expectThat(schedules { honouringFencing(it, honours = false) }.violations.size).isGreaterThan(0)
         }
 
         @Test
-        fun `with a successor that doesn't wait out the term`() {
-            val hasty = settings.copy(term = 3.seconds, renewInterval = 1.seconds, margin = 1.seconds)
+        fun `if a successor doesn't wait for the end of the term`() {
+            val shortTerm = settings.copy(term = 3.seconds, renewInterval = 1.seconds, margin = 1.seconds)
 
-            expectThat(schedules { ignoring(it, settings, hasty) }.violations.size).isGreaterThan(0)
+            expectThat(schedules { ignoringFencing(it, settings, shortTerm) }.violations.size).isGreaterThan(0)
         }
     }
 
     private companion object {
         const val SCHEDULES = 200
         val SPAN: Duration = 10.minutes
-        val LONG_PAUSE: Duration = 2.minutes
+        val MAX_SEND_DELAY: Duration = 2.minutes
     }
 }
