--- a/decision/src/main/kotlin/dev/almondhaven/decision/retry/FullJitterBackoff.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/retry/FullJitterBackoff.kt
@@ -5,10 +5,10 @@
 import kotlin.time.Duration.Companion.nanoseconds
 
 /**
- * Exponential backoff with full jitter: the wait before each further attempt is drawn evenly from zero to a bound that
- * doubles, so that clients which failed together don't come back together.
+ * Exponential backoff with full jitter: the delay before each retry is uniform between zero and a bound that doubles,
+ * so that clients that failed at the same time don't retry at the same time.
  *
- * @property base bound of the first wait.
+ * @property base bound of the first delay.
  * @property cap largest bound.
  */
 public class FullJitterBackoff(
@@ -20,17 +20,17 @@
         require(cap >= base) { "cap must be at least $base, got $cap" }
     }
 
-    /** How long to wait after attempt number [attempt], from 1. */
+    /** The delay after attempt number [attempt], counted from 1. */
     public fun delay(
         attempt: Int,
         random: UniformRandomProvider,
     ): Duration {
-        val doublings = (attempt - 1).coerceIn(0, MAXIMUM_DOUBLINGS)
+        val doublings = (attempt - 1).coerceIn(0, MAX_DOUBLINGS)
         val bound = minOf(cap, base * (1L shl doublings).toDouble())
         return random.nextLong(bound.inWholeNanoseconds + 1).nanoseconds
     }
 
     private companion object {
-        const val MAXIMUM_DOUBLINGS = 30
+        const val MAX_DOUBLINGS = 30
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/retry/RetryBudget.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/retry/RetryBudget.kt
@@ -3,18 +3,19 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /**
- * Bounds retries by successes: each success earns a part of a retry, and each retry spends a whole one. While nothing
- * succeeds nothing is earned, so that an outage meets at most [capacity] retries from each process. As the budget is a
- * ratio, it holds over the fleet in sum: retries never exceed `successes * earnedPerSuccess + processes * capacity`.
+ * Limits retries in proportion to successes: each success earns a fraction of a retry, and each retry spends a whole
+ * one. Without successes nothing is earned, so an outage causes at most [capacity] retries from each process. Since the
+ * budget is a ratio, it also bounds the whole fleet: retries never exceed
+ * `successes * earnedPerSuccess + processes * capacity`.
  *
- * @property earnedPerSuccess retries that a success earns.
- * @property capacity most retries that can be saved up.
+ * @property earnedPerSuccess fraction of a retry that a success earns.
+ * @property capacity most retries that can accumulate.
  */
 public class RetryBudget(
     private val earnedPerSuccess: Double = DEFAULT_EARNED_PER_SUCCESS,
     private val capacity: Int = DEFAULT_CAPACITY,
 ) {
-    private val earnedUnits = (earnedPerSuccess * UNITS_PER_RETRY).toLong()
+    private val unitsPerSuccess = (earnedPerSuccess * UNITS_PER_RETRY).toLong()
     private val capacityUnits = capacity * UNITS_PER_RETRY
     private val balance = AtomicLong(capacityUnits)
 
@@ -23,21 +24,21 @@
         require(capacity >= 0) { "capacity must not be negative, got $capacity" }
     }
 
-    /** Retries that can be spent now. */
+    /** Number of retries that can be spent now. */
     public val available: Double get() = balance.get().toDouble() / UNITS_PER_RETRY
 
-    /** Earns for one success. */
+    /** Adds the credit of one success. */
     public fun recordSuccess() {
         if (balance.get() >= capacityUnits) return
-        balance.updateAndGet { minOf(it + earnedUnits, capacityUnits) }
+        balance.updateAndGet { minOf(it + unitsPerSuccess, capacityUnits) }
     }
 
-    /** Spends one retry; false when the budget doesn't hold one. */
+    /** Spends one retry; false if less than one is available. */
     public fun trySpend(): Boolean {
         while (true) {
-            val held = balance.get()
-            if (held < UNITS_PER_RETRY) return false
-            if (balance.compareAndSet(held, held - UNITS_PER_RETRY)) return true
+            val current = balance.get()
+            if (current < UNITS_PER_RETRY) return false
+            if (balance.compareAndSet(current, current - UNITS_PER_RETRY)) return true
         }
     }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/retry/RetryPolicy.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/retry/RetryPolicy.kt
@@ -7,9 +7,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * A failed attempt and what is left for the request.
+ * A failed attempt and the state of its request.
  *
- * @property attempts attempts made so far, the failed one included.
+ * @property attempts number of attempts so far, the failed one included.
  * @property outcome whether any attempt of the request may have run.
  * @property remaining time until the request's deadline.
  */
@@ -23,18 +23,18 @@
 
 /** What to do after a failed attempt. */
 public sealed interface RetryDecision {
-    /** The failure goes to the caller. */
+    /** Return the failure to the caller. */
     public data object GiveUp : RetryDecision
 
-    /** Another attempt at another endpoint after [delay]. */
+    /** Retry on another endpoint after [delay]. */
     public data class Retry(
         public val delay: Duration,
     ) : RetryDecision
 }
 
 /**
- * Decides on retries: exponential backoff with full jitter within the request's deadline and the process's
- * [budget]. A call that isn't idempotent moves on only when no byte of any attempt was written.
+ * Decides whether to retry: with exponential backoff and full jitter, within the request's deadline and the process's
+ * retry [budget]. A call that isn't idempotent is retried only if no byte of any attempt was sent.
  */
 public class RetryPolicy(
     private val budget: RetryBudget,
@@ -45,7 +45,7 @@
         require(maximumAttempts >= 1) { "maximumAttempts must be 1 or more, got $maximumAttempts" }
     }
 
-    /** The decision after [failed]; a retry is charged to the budget at once. */
+    /** The decision after [failed]. A retry is charged to the budget at once. */
     public fun afterFailure(
         failed: FailedAttempt,
         random: UniformRandomProvider,
@@ -61,7 +61,7 @@
         public const val DEFAULT_MAXIMUM_ATTEMPTS: Int = 3
         private val DEFAULT_BACKOFF = FullJitterBackoff(base = 10.milliseconds, cap = 250.milliseconds)
 
-        /** Failures that another endpoint may not have. */
+        /** Failures that may not occur on another endpoint. */
         private val RETRYABLE =
             setOf(
                 ResultCode.ENDPOINT_UNREACHABLE,
--- a/decision/src/test/kotlin/dev/almondhaven/decision/retry/RetryBudgetTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/retry/RetryBudgetTest.kt
@@ -25,7 +25,7 @@
     @Nested
     inner class `retries of a process` {
         @Test
-        fun `never exceed a tenth of its successes and the capacity`() {
+        fun `never exceed a tenth of its successes plus the capacity`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = 41), Arb.list(Arb.boolean(), 0..500)) { successes ->
                     val budget = RetryBudget()
@@ -44,7 +44,7 @@
         }
 
         @Test
-        fun `end with the capacity in an outage`() {
+        fun `stop at the capacity in an outage`() {
             val budget = RetryBudget()
 
             expectThat((1..10_000).count { budget.trySpend() }).isEqualTo(RetryBudget.DEFAULT_CAPACITY)
@@ -54,7 +54,7 @@
     @Nested
     inner class `a call that isn't idempotent` {
         @Test
-        fun `moves on only when no byte was written`() {
+        fun `is retried only if no byte was sent`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = 42), Arb.enum<ResultCode>(), Arb.enum<Outcome>()) { code, outcome ->
                     val failed = FailedAttempt(code, outcome, idempotent = false, attempts = 1, 1_000.milliseconds)
