--- a/decision/src/main/kotlin/dev/almondhaven/decision/order/EngineOrderPlan.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/order/EngineOrderPlan.kt
@@ -7,7 +7,11 @@
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.ModelVersionId
 
-/** What an endpoint ought to be ordered to have loaded. */
+/**
+ * An order to an engine: the versions that it should have loaded.
+ *
+ * @property startsLoad whether the order makes the engine load a further version.
+ */
 public data class PlannedOrder(
     public val endpoint: Endpoint,
     public val versions: List<ModelVersionId>,
@@ -15,11 +19,11 @@
 )
 
 /**
- * The orders that bring engines from what they report to what the catalogue says, a safe step at a time. It remembers
- * nothing, so a successor goes on from wherever its predecessor stopped.
+ * Plans the orders that bring engines from the state they report to the state in the catalogue, one safe step at a
+ * time. It is stateless, so another router can take over at any point.
  *
- * - A version is loaded only with an allowance, since the weight store bears only so many loads.
- * - A version in service is unloaded only if another endpoint that is meant to serve it reports it as loaded.
+ * - The number of new loads is limited, because the weight store sustains only so many at a time.
+ * - A version in service is unloaded only if another endpoint that the catalogue assigns it to reports it as loaded.
  */
 public class EngineOrderPlan(
     private val catalogue: Catalogue,
@@ -32,17 +36,17 @@
             .toSet()
     private val engines = catalogue.endpoints.filter { it.service == null }
 
-    /** Orders to [endpoints], with at most [loads] new loads. Endpoints that don't report get none. */
+    /** The orders to [endpoints], with at most [maxLoads] new loads. Endpoints without a report get no order. */
     public fun orders(
         endpoints: List<Endpoint>,
-        loads: Int,
+        maxLoads: Int,
     ): List<PlannedOrder> {
-        var allowance = loads
+        var remainingLoads = maxLoads
         return endpoints.mapNotNull { endpoint ->
             val report = reports[endpoint.id] ?: return@mapNotNull null
-            val load = if (allowance > 0) nextLoad(endpoint, report) else null
-            if (load != null) allowance--
-            val kept = report.desired.filter { it in wanted(endpoint) || !mayUnload(it, endpoint) }
+            val load = if (remainingLoads > 0) nextLoad(endpoint, report) else null
+            if (load != null) remainingLoads--
+            val kept = report.desired.filter { it in assignedVersions(endpoint) || !canUnload(it, endpoint) }
             val versions = kept + listOfNotNull(load)
             PlannedOrder(endpoint, versions, startsLoad = load != null).takeIf {
                 versions.toSet() !=
@@ -51,25 +55,26 @@
         }
     }
 
-    private fun wanted(endpoint: Endpoint): List<ModelVersionId> = endpoint.versions.filter { it in inService }
+    private fun assignedVersions(endpoint: Endpoint): List<ModelVersionId> =
+        endpoint.versions.filter { it in inService }
 
-    /** One load at a time: the next one begins when the engine reports the last one as loaded. */
+    /** An engine loads one version at a time: the next load starts once the last one is reported as loaded. */
     private fun nextLoad(
         endpoint: Endpoint,
         report: EngineReport,
     ): ModelVersionId? {
-        val busy = report.desired.any { it !in report.loaded }
-        return if (busy) null else wanted(endpoint).firstOrNull { it !in report.desired }
+        val isLoading = report.desired.any { it !in report.loaded }
+        return if (isLoading) null else assignedVersions(endpoint).firstOrNull { it !in report.desired }
     }
 
-    private fun mayUnload(
+    private fun canUnload(
         version: ModelVersionId,
         endpoint: Endpoint,
     ): Boolean =
         version !in inService ||
-            engines.any { it.id != endpoint.id && version in it.versions && isWarm(version, it) }
+            engines.any { it.id != endpoint.id && version in it.versions && isLoaded(version, it) }
 
-    private fun isWarm(
+    private fun isLoaded(
         version: ModelVersionId,
         endpoint: Endpoint,
     ): Boolean = reports[endpoint.id]?.let { version in it.loaded && version in it.desired } ?: false
--- a/decision/src/test/kotlin/dev/almondhaven/decision/order/EngineOrderPlanTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/order/EngineOrderPlanTest.kt
@@ -46,7 +46,7 @@
             .orders(catalogue.endpoints, loads)
             .associate { it.endpoint.id.value to it.versions }
 
-    private fun warm(vararg versions: ModelVersionId) = EngineReport(versions.toList(), versions.toList())
+    private fun loaded(vararg versions: ModelVersionId) = EngineReport(versions.toList(), versions.toList())
 
     @Nested
     inner class `a roll-out` {
@@ -57,10 +57,10 @@
         fun `loads the new version before it unloads the old one`() {
             val steps =
                 listOf(
-                    orders(catalogue, 9, "a" to warm(), "b" to warm(old)),
-                    orders(catalogue, 9, "a" to EngineReport(listOf(old)), "b" to warm(old, new)),
-                    orders(catalogue, 9, "a" to warm(old), "b" to warm(old, new)),
-                    orders(catalogue, 9, "a" to warm(old), "b" to warm(new)),
+                    orders(catalogue, 9, "a" to loaded(), "b" to loaded(old)),
+                    orders(catalogue, 9, "a" to EngineReport(listOf(old)), "b" to loaded(old, new)),
+                    orders(catalogue, 9, "a" to loaded(old), "b" to loaded(old, new)),
+                    orders(catalogue, 9, "a" to loaded(old), "b" to loaded(new)),
                 )
 
             expectThat(steps).isEqualTo(
@@ -75,37 +75,37 @@
 
         @Test
         fun `gives an endpoint that doesn't report no order`() {
-            expectThat(orders(catalogue, 9, "b" to warm(new))).isEqualTo(emptyMap())
+            expectThat(orders(catalogue, 9, "b" to loaded(new))).isEqualTo(emptyMap())
         }
 
         @Test
         fun `loads no more than allowed`() {
-            expectThat(orders(catalogue, 1, "a" to warm(), "b" to warm())).isEqualTo(mapOf("a" to listOf(old)))
+            expectThat(orders(catalogue, 1, "a" to loaded(), "b" to loaded())).isEqualTo(mapOf("a" to listOf(old)))
         }
     }
 
     @Test
-    fun `a withdrawn version is unloaded even from its last endpoint`() {
+    fun `a withdrawn version is unloaded even from the last endpoint that has it`() {
         val catalogue =
             Catalogue(models = listOf(model(old, VersionState.WITHDRAWN)), endpoints = listOf(engine("a", old)))
 
-        expectThat(orders(catalogue, 9, "a" to warm(old))).isEqualTo(mapOf("a" to emptyList()))
+        expectThat(orders(catalogue, 9, "a" to loaded(old))).isEqualTo(mapOf("a" to emptyList()))
     }
 
-    /** Engines that take orders late or never, load after a while, and lose everything now and then. */
+    /** Engines that miss some orders and load versions after a while. */
     private class Engines(
         private val random: Random,
         names: List<EndpointId>,
     ) {
         val reports = names.associateWith { EngineReport() }.toMutableMap()
 
-        fun take(order: PlannedOrder) {
+        fun receive(order: PlannedOrder) {
             if (random.nextInt(4) == 0) return
             val loaded = reports.getValue(order.endpoint.id).loaded.filter { it in order.versions }
             reports[order.endpoint.id] = EngineReport(order.versions, loaded)
         }
 
-        fun work() {
+        fun loadSome() {
             reports.replaceAll {
                 _,
                 report,
@@ -114,11 +114,11 @@
             }
         }
 
-        fun warm(version: ModelVersionId): Int = reports.values.count { version in it.loaded }
+        fun loadedCount(version: ModelVersionId): Int = reports.values.count { version in it.loaded }
     }
 
     @Test
-    fun `orders never take a version's last warm endpoint, and reach what the catalogue says`() {
+    fun `orders never unload a version from its last loaded endpoint, and converge to the catalogue`() {
         runBlocking {
             checkAll(PropTestConfig(seed = 75, iterations = 500), Arb.long()) { seed ->
                 val random = Random(seed)
@@ -126,27 +126,27 @@
                 val names = List(4) { "engine-$it" }
                 val engines = Engines(random, names.map { EndpointId(it) })
                 repeat(4) {
-                    val spread = names.map { engine(it, versions[random.nextInt(3)], versions[random.nextInt(3)]) }
-                    val endpoints = spread.map { it.copy(versions = it.versions.distinct()) }
+                    val placement = names.map { engine(it, versions[random.nextInt(3)], versions[random.nextInt(3)]) }
+                    val endpoints = placement.map { it.copy(versions = it.versions.distinct()) }
                     val catalogue = Catalogue(models = versions.map { model(it) }, endpoints = endpoints)
                     val rounds = generateSequence { step(catalogue, engines) }.take(ROUNDS).toList()
                     expectThat(rounds.max()).isLessThanOrEqualTo(1)
-                    endpoints.flatMap { it.versions }.forEach { expectThat(engines.warm(it)).isGreaterThan(0) }
+                    endpoints.flatMap { it.versions }.forEach { expectThat(engines.loadedCount(it)).isGreaterThan(0) }
                 }
             }
         }
     }
 
-    /** Plans and gives orders once; returns the number of loads, and fails if a warm version turned cold. */
+    /** Plans and sends orders once; returns the number of new loads, and fails if a loaded version is lost. */
     private fun step(
         catalogue: Catalogue,
         engines: Engines,
     ): Int {
-        val before = catalogue.models.filter { engines.warm(it.id) > 0 }
-        val orders = EngineOrderPlan(catalogue, engines.reports.toMap()).orders(catalogue.endpoints, loads = 1)
-        orders.forEach { engines.take(it) }
-        before.forEach { expectThat(engines.warm(it.id)).isGreaterThan(0) }
-        engines.work()
+        val before = catalogue.models.filter { engines.loadedCount(it.id) > 0 }
+        val orders = EngineOrderPlan(catalogue, engines.reports.toMap()).orders(catalogue.endpoints, maxLoads = 1)
+        orders.forEach { engines.receive(it) }
+        before.forEach { expectThat(engines.loadedCount(it.id)).isGreaterThan(0) }
+        engines.loadSome()
         return orders.count { it.startsLoad }
     }
 
