--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimDocument.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimDocument.kt
@@ -36,23 +36,44 @@
         operation: ClaimOperation.Claim,
         bytes: Int,
     ): AppliedOperation {
-        val held = records[operation.key]
+        val existing = records[operation.key]
         return when {
-            held == null && fingerprint(operation.key) in expired -> unchanged(ClaimVerdict.Expired)
-            held == null && bytes > MAX_SHARD_BYTES_FOR_CLAIMS -> unchanged(ClaimVerdict.Full)
-            held == null || isFree(held, operation) -> with(operation.key, operation.record(), ClaimVerdict.Granted)
-            held.attempt == operation.attempt && held.state == ClaimState.CLAIMED -> unchanged(ClaimVerdict.Granted)
-            else -> unchanged(ClaimVerdict.Held(held))
+            existing == null && fingerprint(operation.key) in expired -> {
+                unchanged(ClaimVerdict.Expired)
+            }
+
+            existing == null && bytes > MAX_SHARD_BYTES_FOR_CLAIMS -> {
+                unchanged(ClaimVerdict.Full)
+            }
+
+            existing == null ||
+                canBeReplaced(
+                    existing,
+                    operation,
+                )
+            -> {
+                with(operation.key, operation.record(), ClaimVerdict.Granted)
+            }
+
+            existing.attempt == operation.attempt && existing.state == ClaimState.CLAIMED -> {
+                unchanged(
+                    ClaimVerdict.Granted,
+                )
+            }
+
+            else -> {
+                unchanged(ClaimVerdict.Held(existing))
+            }
         }
     }
 
-    private fun isFree(
-        held: ClaimRecord,
+    private fun canBeReplaced(
+        existing: ClaimRecord,
         operation: ClaimOperation.Claim,
     ): Boolean =
-        when (held.state) {
-            ClaimState.VOID -> arrivedLater(held, operation)
-            ClaimState.CLAIMED -> held.attempt in operation.voided && arrivedLater(held, operation)
+        when (existing.state) {
+            ClaimState.VOID -> arrivedLater(existing, operation)
+            ClaimState.CLAIMED -> existing.attempt in operation.voided && arrivedLater(existing, operation)
             ClaimState.FINISHED -> false
         }
 
@@ -61,9 +82,9 @@
      * also covers every request under the key that arrived before it, so none of those may claim the key any more.
      */
     private fun arrivedLater(
-        held: ClaimRecord,
+        existing: ClaimRecord,
         operation: ClaimOperation.Claim,
-    ): Boolean = operation.claimedAt > held.claimedAt + 2 * ARRIVAL_TOLERANCE_MILLIS
+    ): Boolean = operation.claimedAt > existing.claimedAt + 2 * ARRIVAL_TOLERANCE_MILLIS
 
     private fun ClaimOperation.Claim.record() = ClaimRecord(requestDigest, attempt, claimedAt)
 
@@ -71,21 +92,21 @@
         operation: ClaimOperation.Finish,
         bytes: Int,
     ): AppliedOperation {
-        val held = claimedBy(operation) ?: return unchanged(ClaimVerdict.Recorded)
+        val existing = claimedBy(operation) ?: return unchanged(ClaimVerdict.Recorded)
         val response =
             operation.response?.takeIf {
                 it.body.length <= MAX_RESPONSE_CHARACTERS &&
                     bytes <= MAX_SHARD_BYTES_FOR_RESPONSES
             }
-        val finished = held.copy(state = ClaimState.FINISHED, outcome = operation.outcome, response = response)
+        val finished = existing.copy(state = ClaimState.FINISHED, outcome = operation.outcome, response = response)
         return with(operation.key, finished, ClaimVerdict.Recorded)
     }
 
     private fun void(operation: ClaimOperation.Void): AppliedOperation {
-        val held = claimedBy(operation) ?: return unchanged(ClaimVerdict.Recorded)
+        val existing = claimedBy(operation) ?: return unchanged(ClaimVerdict.Recorded)
         return with(
             operation.key,
-            held.copy(state = ClaimState.VOID, outcome = Outcome.NOT_RUN),
+            existing.copy(state = ClaimState.VOID, outcome = Outcome.NOT_RUN),
             ClaimVerdict.Recorded,
         )
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/distribution/GossipExchange.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/distribution/GossipExchange.kt
@@ -146,9 +146,9 @@
     }
 
     private fun announceIfNew(now: Long): List<PeerRequest> {
-        val held: Generation = holder.generation
-        if (held <= announcedGeneration) return emptyList()
-        announcedGeneration = held
+        val current: Generation = holder.generation
+        if (current <= announcedGeneration) return emptyList()
+        announcedGeneration = current
         return membership.announce(FANOUT).map { request(now, it) }
     }
 
