--- a/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimDocument.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/claim/ClaimDocument.kt
@@ -46,19 +46,12 @@
                 unchanged(ClaimVerdict.Full)
             }
 
-            existing == null ||
-                canBeReplaced(
-                    existing,
-                    operation,
-                )
-            -> {
+            existing == null || canBeReplaced(existing, operation) -> {
                 with(operation.key, operation.record(), ClaimVerdict.Granted)
             }
 
             existing.attempt == operation.attempt && existing.state == ClaimState.CLAIMED -> {
-                unchanged(
-                    ClaimVerdict.Granted,
-                )
+                unchanged(ClaimVerdict.Granted)
             }
 
             else -> {
