--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ActiveSession.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ActiveSession.kt
@@ -1,10 +1,10 @@
 package dev.almondhaven.decision.traffic
 
 /**
- * A session whose next request belongs with its last one.
+ * A session that hasn't reached its idle timeout: its next request continues it instead of starting a new session.
  *
- * @property version the version that ran it last.
- * @property isRunning whether a run goes on.
+ * @property version the service version that ran its latest request.
+ * @property isRunning whether a request of the session is running at this router.
  */
 public data class ActiveSession(
     public val id: String,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/CanaryComparison.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/CanaryComparison.kt
@@ -5,50 +5,52 @@
 import kotlin.math.ln
 
 /**
- * Answers of the old and the new version of a service since a roll-out began. Not safe for use from several threads.
+ * Compares the failure rates of a service's old version and of the canary, the new version, since a roll-out began.
+ * Not thread-safe.
  */
 public class CanaryComparison {
     private var oldAnswers = 0L
     private var oldFailures = 0L
-    private var newAnswers = 0L
-    private var newFailures = 0L
+    private var canaryAnswers = 0L
+    private var canaryFailures = 0L
 
-    /** Notes an answer of an endpoint. */
+    /** Records the outcome of a request at an endpoint of either version. */
     public fun record(
         isCanary: Boolean,
         failed: Boolean,
     ) {
         if (isCanary) {
-            newAnswers++
-            if (failed) newFailures++
+            canaryAnswers++
+            if (failed) canaryFailures++
         } else {
             oldAnswers++
             if (failed) oldFailures++
         }
     }
 
-    /** Whether the new version fails so much more often than the old one that chance does not explain it. */
+    /** Whether the canary's failure rate exceeds the tolerated rate with statistical significance. */
     public fun isCanaryWorse(): Boolean {
-        if (newFailures < FEWEST_FAILURES) return false
-        val usual = if (oldAnswers == 0L) 0.0 else oldFailures.toDouble() / oldAnswers
-        val bearable = minOf(usual * USUAL_FACTOR + MARGIN, MOST_BEARABLE)
-        val sample = Sample(newAnswers, newFailures.toDouble())
-        return sample.mean > bearable && MixtureTest.logEvidenceAgainst(bearable, sample) > EVIDENCE
+        if (canaryFailures < MINIMUM_FAILURES) return false
+        val oldRate = if (oldAnswers == 0L) 0.0 else oldFailures.toDouble() / oldAnswers
+        val toleratedRate = minOf(oldRate * OLD_RATE_FACTOR + MARGIN, MAXIMUM_TOLERATED_RATE)
+        val sample = Sample(canaryAnswers, canaryFailures.toDouble())
+        return sample.mean > toleratedRate &&
+            MixtureTest.logEvidenceAgainst(toleratedRate, sample) > LOG_EVIDENCE_THRESHOLD
     }
 
-    override fun toString(): String = "old=$oldFailures/$oldAnswers new=$newFailures/$newAnswers"
+    override fun toString(): String = "old=$oldFailures/$oldAnswers new=$canaryFailures/$canaryAnswers"
 
     private companion object {
-        const val FEWEST_FAILURES = 3L
+        const val MINIMUM_FAILURES = 3L
 
-        /** The old version's rate is itself uncertain. */
-        const val USUAL_FACTOR = 1.5
+        /** Allows for the uncertainty of the old version's own measured rate. */
+        const val OLD_RATE_FACTOR = 1.5
 
-        /** A version that fails one request in twenty more often is bad; less is not told from chance in time. */
+        /** One additional failure in 20 requests makes a version bad; less can't be told from chance in time. */
         const val MARGIN = 0.05
-        const val MOST_BEARABLE = 0.9
+        const val MAXIMUM_TOLERATED_RATE = 0.9
 
-        /** One good version in a hundred may be taken for bad by one router. */
-        val EVIDENCE = ln(100.0)
+        /** A single router rejects at most one good version in a hundred. */
+        val LOG_EVIDENCE_THRESHOLD = ln(100.0)
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ConfigurationAge.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ConfigurationAge.kt
@@ -4,41 +4,42 @@
 import kotlin.time.Duration.Companion.nanoseconds
 
 /**
- * When this router last knew the newest configuration. A key that was taken away must stop working within a bound on
- * every router, cut off or not; a router whose proof is older than [lifetime] turns requests with keys away.
+ * Time since this router last confirmed that it holds the newest configuration. A revoked API key must stop working
+ * within a bounded time on every router, partitioned or not, so a router whose last confirmation is older than
+ * [lifetime] rejects requests that carry a key.
  *
- * The steady clock stands still while a process is suspended and the time of day may jump, so a proof ages by whichever
- * clock shows more. Not safe for use from several threads.
+ * The monotonic clock stands still while a process is suspended and the wall clock may jump, so the age is taken from
+ * whichever clock shows more. Not thread-safe.
  */
 public class ConfigurationAge(
     private val lifetime: Duration,
 ) {
-    private var steadyNanos = 0L
-    private var wallMillis = 0L
-    private var proved = false
+    private var confirmedNanos = 0L
+    private var confirmedWallMillis = 0L
+    private var isConfirmed = false
 
-    /** Notes that a linearizable read, sent at these times, returned what is in force. */
+    /** Records that a linearizable read, sent at these times, returned the configuration in force. */
     public fun confirm(
         steadyNanos: Long,
         wallMillis: Long,
     ) {
-        this.steadyNanos = steadyNanos
-        this.wallMillis = wallMillis
-        proved = true
+        confirmedNanos = steadyNanos
+        confirmedWallMillis = wallMillis
+        isConfirmed = true
     }
 
-    /** Age of the proof; infinite before the first one. */
+    /** Time since the last confirmation; infinite before the first one. */
     public fun age(
         steadyNanos: Long,
         wallMillis: Long,
     ): Duration {
-        if (!proved) return Duration.INFINITE
-        val steady = (steadyNanos - this.steadyNanos).nanoseconds
-        val wall = ((wallMillis - this.wallMillis) * NANOS_PER_MILLI).nanoseconds
-        return maxOf(steady, wall)
+        if (!isConfirmed) return Duration.INFINITE
+        val steadyAge = (steadyNanos - confirmedNanos).nanoseconds
+        val wallAge = ((wallMillis - confirmedWallMillis) * NANOS_PER_MILLI).nanoseconds
+        return maxOf(steadyAge, wallAge)
     }
 
-    /** Whether requests with keys may run. */
+    /** Whether the configuration is recent enough to serve requests that carry a key. */
     public fun isFresh(
         steadyNanos: Long,
         wallMillis: Long,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointPlacement.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointPlacement.kt
@@ -6,103 +6,117 @@
 /**
  * Chooses the endpoint that is expected to answer first.
  *
- * For engines that is the reading that waits there, the reading of what is not cached, and the pace that its running
- * requests leave. Routers don't see each other's requests, so a shared prompt part has a home that all routers compute
- * alike; the home counts as having the part cached. For plain services it is the number of requests at the endpoint.
+ * For a model engine the expected time is the outstanding prefill, the prefill of the prompt's uncached part, and the
+ * slowdown from the requests already running. For a plain service it follows from the number of requests at the
+ * endpoint.
+ *
+ * Routers don't see which prompts the others send. So that requests with a shared prompt prefix still meet at one
+ * engine, all routers map the prefix to the same preferred endpoint by rendezvous hashing and assume that it is
+ * cached there.
  */
 public class EndpointPlacement(
-    private val home: FailureDomainId,
+    private val ownDomain: FailureDomainId,
 ) {
-    /** The best of [candidates], or null if there is none. */
+    /** The candidate of least cost that admits a request at [now], or null if there is none. */
     public fun choose(
         candidates: List<EndpointView>,
-        demand: PlacementRequest,
+        request: PlacementRequest,
         now: Long,
     ): EndpointView? {
         val admitted = candidates.filter { it.warmUp.admits(now) && !it.health.refuses(now) }
-        val homeOfPart = homeOf(candidates, demand)
-        return admitted.minByOrNull { cost(it, it === homeOfPart, demand, now) }
+        val preferred = preferredEndpoint(candidates, request)
+        return admitted.minByOrNull { costMillis(it, it === preferred, request, now) }
     }
 
-    private fun homeOf(
+    private fun preferredEndpoint(
         candidates: List<EndpointView>,
-        demand: PlacementRequest,
+        request: PlacementRequest,
     ): EndpointView? {
-        val affinity = demand.affinity ?: return null
+        val affinity = request.affinity ?: return null
         return RendezvousHash.choose(affinity, candidates, 1) { it.listing.id.value }.firstOrNull()
     }
 
-    private fun cost(
+    private fun costMillis(
         endpoint: EndpointView,
-        isHome: Boolean,
-        demand: PlacementRequest,
+        isPreferred: Boolean,
+        request: PlacementRequest,
         now: Long,
     ): Double {
-        val distance = if (endpoint.listing.failureDomain == home) 0.0 else OTHER_DOMAIN_MILLIS
-        val coldness = if (endpoint.warmUp.isCold(now)) COLD_MILLIS else 0.0
+        val distance = if (endpoint.listing.failureDomain == ownDomain) 0.0 else CROSS_DOMAIN_MILLIS
+        val coldPenalty = if (endpoint.warmUp.isCold(now)) COLD_PENALTY_MILLIS else 0.0
         val load = endpoint.requests(now).toDouble() / endpoint.listing.slots
-        val unreliability = endpoint.failureRate.at(now) * FAILURE_MILLIS
-        return distance + coldness + unreliability +
-            if (demand.model.isEmpty()) load * SERVICE_MILLIS else reading(endpoint, isHome, demand, now)
+        val failurePenalty = endpoint.failureRate.at(now) * FAILURE_PENALTY_MILLIS
+        return distance + coldPenalty + failurePenalty +
+            if (request.model.isEmpty()) {
+                load * FULL_SERVICE_MILLIS
+            } else {
+                firstTokenMillis(endpoint, isPreferred, request, now)
+            }
     }
 
-    private fun reading(
+    private fun firstTokenMillis(
         endpoint: EndpointView,
-        isHome: Boolean,
-        demand: PlacementRequest,
+        isPreferred: Boolean,
+        request: PlacementRequest,
         now: Long,
     ): Double {
-        val shared = demand.promptParts.dropLast(1)
-        val held = endpoint.prefixCache.cachedTokens(demand.model, demand.promptParts)
-        val assumed = if (isHome) maxOf(held, shared.sumOf { it.tokens }) else held
-        val unread = (demand.promptTokens - assumed).coerceAtLeast(0)
-        val fullness = endpoint.requests(now).toDouble() / endpoint.listing.slots
-        val queued = endpoint.waiting(now) * WAITING_MILLIS
-        val crowd = if (fullness > FULL) (fullness - FULL) * OVERFULL_MILLIS else fullness * CROWD_MILLIS
-        return endpoint.prefillSpeed.estimateMillis(
-            demand.model,
-            unread,
-        ) + endpoint.prefillBacklogMillis(now) + queued +
-            crowd
+        // The last part belongs to the request or its session, so other sessions don't share it.
+        val shared = request.promptParts.dropLast(1)
+        val cached = endpoint.prefixCache.cachedTokens(request.model, request.promptParts)
+        val assumedCached = if (isPreferred) maxOf(cached, shared.sumOf { it.tokens }) else cached
+        val uncached = (request.promptTokens - assumedCached).coerceAtLeast(0)
+        val load = endpoint.requests(now).toDouble() / endpoint.listing.slots
+        val queueing = endpoint.waiting(now) * QUEUED_REQUEST_MILLIS
+        val batchSlowdown =
+            if (load > NEARLY_FULL_LOAD) {
+                (load - NEARLY_FULL_LOAD) * OVERLOAD_MILLIS
+            } else {
+                load * FULL_BATCH_MILLIS
+            }
+        return endpoint.prefillSpeed.estimateMillis(request.model, uncached) + endpoint.prefillBacklogMillis(now) +
+            queueing + batchSlowdown
     }
 
-    /** Milliseconds until the best of [candidates] is expected to begin its answer; infinite without any. */
+    /** Expected milliseconds to the first token at the best of [candidates]; infinite if there are none. */
     public fun expectedFirstTokenMillis(
         candidates: List<EndpointView>,
-        demand: PlacementRequest,
+        request: PlacementRequest,
         now: Long,
     ): Double {
-        val homeOfPart = homeOf(candidates, demand)
-        return candidates.minOfOrNull { reading(it, it === homeOfPart, demand, now) } ?: Double.POSITIVE_INFINITY
+        val preferred = preferredEndpoint(candidates, request)
+        return candidates.minOfOrNull { firstTokenMillis(it, it === preferred, request, now) }
+            ?: Double.POSITIVE_INFINITY
     }
 
-    /** Milliseconds of reading that wait at one of [candidates] on average; 0 without any. */
+    /** Average milliseconds of outstanding prefill per candidate; 0 if there are none. */
     public fun averagePrefillBacklogMillis(
         candidates: List<EndpointView>,
         now: Long,
     ): Double = if (candidates.isEmpty()) 0.0 else candidates.sumOf { it.prefillBacklogMillis(now) } / candidates.size
 
     private companion object {
-        /** Two ways between failure domains, and what the bytes cost. */
-        const val OTHER_DOMAIN_MILLIS = 5.0
+        /** A round trip between failure domains, and the price of the transferred bytes. */
+        const val CROSS_DOMAIN_MILLIS = 5.0
+
+        /** Makes a cold endpoint the better choice only when the others are busy. */
+        const val COLD_PENALTY_MILLIS = 60.0
 
-        /** A cold endpoint is worth using only when others are busy. */
-        const val COLD_MILLIS = 60.0
+        /** A failed request costs a retry, or the whole request where it can't be retried. */
+        const val FAILURE_PENALTY_MILLIS = 400.0
 
-        /** A request that fails costs a repeat, or all of it where it can't be repeated. */
-        const val FAILURE_MILLIS = 400.0
+        /** At a plain service whose slots are all taken, a request waits for about one service time. */
+        const val FULL_SERVICE_MILLIS = 60.0
 
-        /** A plain service with all slots taken makes a request wait about one service time. */
-        const val SERVICE_MILLIS = 60.0
+        /** Decode steps slow down as the batch grows; a full batch adds about this much to the first token. */
+        const val FULL_BATCH_MILLIS = 150.0
 
-        /** Steps of a batch grow with the requests in it; a full batch costs about this much more to the first token. */
-        const val CROWD_MILLIS = 150.0
+        /** Requests per slot above which a request is likely to wait for a free slot. */
+        const val NEARLY_FULL_LOAD = 0.9
 
-        /** Part of the slots above which a request is likely to wait for one. */
-        const val FULL = 0.9
-        const val OVERFULL_MILLIS = 3_000.0
+        /** Wait per whole multiple of the slots above [NEARLY_FULL_LOAD]. */
+        const val OVERLOAD_MILLIS = 3_000.0
 
-        /** A request that waits at an engine delays the next one by about its reading. */
-        const val WAITING_MILLIS = 60.0
+        /** Each request queued at an engine delays the next one by about its prefill. */
+        const val QUEUED_REQUEST_MILLIS = 60.0
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointView.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointView.kt
@@ -7,11 +7,11 @@
 import org.apache.commons.rng.UniformRandomProvider
 
 /**
- * What this router believes of one endpoint, from the platform's list and from its own requests. Not safe for use from
- * several threads.
+ * This router's local view of one endpoint, built from the platform's endpoint list, the endpoint's load reports, the
+ * router's own requests and the prefills that other routers announce. Not thread-safe.
  *
- * @property listing as last seen in the platform's list.
- * @property prefillSpeed shared by the endpoints of a service.
+ * @property listing the endpoint's latest entry in the platform's list.
+ * @property prefillSpeed estimate that all endpoints of a service share.
  */
 public class EndpointView(
     listing: EndpointListing,
@@ -29,59 +29,61 @@
 
     public val failureRate: FailureRate = FailureRate()
 
-    /** Requests sent and not ended. */
+    /** Requests of this router that were sent and have not ended. */
     public var inFlight: Int = 0
         private set
 
-    /** Estimated milliseconds of reading that this router has sent and that has not ended. */
-    public var readingMillis: Double = 0.0
+    /** Estimated milliseconds of prefill in the requests of this router that have not produced their first event. */
+    public var ownPrefillMillis: Double = 0.0
         private set
-    private var reported: ReportedLoad? = null
-    private var reportedAt = now
-    private var inFlightWhenReported = 0
+    private var latestLoad: ReportedLoad? = null
+    private var latestLoadAt = now
+    private var inFlightAtLatestLoad = 0
 
     init {
-        noteCold(listing, now)
+        extendColdPeriod(listing, now)
     }
 
-    /** Takes over what the endpoint says of itself now; a new start under the same id forgets what was cached. */
+    /** Replaces the listing. A new start of the endpoint under the same id clears the view of its prefix cache. */
     public fun update(
-        next: EndpointListing,
+        newListing: EndpointListing,
         now: Long,
     ) {
-        if (next.bornMillis != listing.bornMillis) prefixCache.clear()
-        listing = next
-        noteCold(next, now)
+        if (newListing.bornMillis != listing.bornMillis) prefixCache.clear()
+        listing = newListing
+        extendColdPeriod(newListing, now)
     }
 
-    private fun noteCold(
+    private fun extendColdPeriod(
         listing: EndpointListing,
         now: Long,
     ) {
         if (listing.coldLeft.isPositive()) warmUp.extendTo(now + listing.coldLeft.inWholeNanoseconds)
     }
 
-    public fun recordStart(reading: Double) {
+    /** Records a request sent, with an estimated prefill time of [prefillMillis]. */
+    public fun recordStart(prefillMillis: Double) {
         inFlight++
-        readingMillis += reading
+        ownPrefillMillis += prefillMillis
     }
 
-    /** The first event has come: nothing is left to read. */
-    public fun recordPrefillEnd(reading: Double) {
-        readingMillis = (readingMillis - reading).coerceAtLeast(0.0)
+    /** Records the end of the prefill that was estimated at [prefillMillis], which the request's first event shows. */
+    public fun recordPrefillEnd(prefillMillis: Double) {
+        ownPrefillMillis = (ownPrefillMillis - prefillMillis).coerceAtLeast(0.0)
     }
 
+    /** Records the end of a request, whatever its outcome. */
     public fun recordEnd() {
         inFlight--
     }
 
-    /** Notes a good answer. */
+    /** Records a successful response. */
     public fun recordSuccess(now: Long) {
         health.recordSuccess()
         failureRate.record(failed = false, now)
     }
 
-    /** Notes a failure; true when it ejected the endpoint. */
+    /** Records a failed request; returns true if it ejected the endpoint. */
     public fun recordFailure(
         now: Long,
         random: UniformRandomProvider,
@@ -90,7 +92,7 @@
         return health.recordFailure(now, random)
     }
 
-    /** Notes that no connection could be opened; true when it ejected the endpoint. */
+    /** Records a failure to open a connection; returns true if it ejected the endpoint. */
     public fun recordUnreachable(
         now: Long,
         random: UniformRandomProvider,
@@ -99,29 +101,34 @@
         return health.recordUnreachable(now, random)
     }
 
-    /** Milliseconds of reading that wait at the endpoint, this router's and what others have announced. */
-    public fun prefillBacklogMillis(now: Long): Double = readingMillis + remotePrefills.totalMillis(now)
+    /** Estimated milliseconds of outstanding prefill, of this router's requests and of those that others announced. */
+    public fun prefillBacklogMillis(now: Long): Double = ownPrefillMillis + remotePrefills.totalMillis(now)
 
+    /** Records the load that the endpoint reported in a response. */
     public fun recordLoad(
         load: ReportedLoad,
         now: Long,
     ) {
-        reported = load
-        reportedAt = now
-        inFlightWhenReported = inFlight
+        latestLoad = load
+        latestLoadAt = now
+        inFlightAtLatestLoad = inFlight
     }
 
-    /** Requests at the endpoint, other routers' too, as far as a report of less than [REPORT_LIFE_NANOS] tells. */
+    /**
+     * Estimated requests at the endpoint, including those of other routers if the latest load report is younger than
+     * [LOAD_REPORT_VALIDITY_NANOS].
+     */
     public fun requests(now: Long): Int {
-        val load = reported?.takeIf { now - reportedAt < REPORT_LIFE_NANOS } ?: return inFlight
-        return maxOf(inFlight, load.running + load.waiting + inFlight - inFlightWhenReported)
+        val load = latestLoad?.takeIf { now - latestLoadAt < LOAD_REPORT_VALIDITY_NANOS } ?: return inFlight
+        return maxOf(inFlight, load.running + load.waiting + inFlight - inFlightAtLatestLoad)
     }
 
-    /** Requests waiting at the endpoint at the last report. */
-    public fun waiting(now: Long): Int = reported?.takeIf { now - reportedAt < REPORT_LIFE_NANOS }?.waiting ?: 0
+    /** Requests queued at the endpoint according to the latest load report; 0 if that has expired. */
+    public fun waiting(now: Long): Int =
+        latestLoad?.takeIf { now - latestLoadAt < LOAD_REPORT_VALIDITY_NANOS }?.waiting ?: 0
 
     public companion object {
-        /** An older report says nothing of requests that end within a second or two. */
-        public const val REPORT_LIFE_NANOS: Long = 1_500_000_000
+        /** Requests end within a second or two, so an older report no longer describes the endpoint's load. */
+        public const val LOAD_REPORT_VALIDITY_NANOS: Long = 1_500_000_000
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EscalationConditions.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EscalationConditions.kt
@@ -1,11 +1,11 @@
 package dev.almondhaven.decision.traffic
 
 /**
- * What asking another model for a request would mean now.
+ * The conditions under which a request could be escalated to another model now.
  *
- * @property remainingMillis time left of the latency objective.
- * @property prefillBacklogMillis reading that waits at an engine on average.
- * @property expectedFirstTokenMillis expected time until a model begins its answer.
+ * @property remainingMillis time left until the latency objective.
+ * @property prefillBacklogMillis average outstanding prefill per engine.
+ * @property expectedFirstTokenMillis expected time to the first token of a given model.
  */
 public class EscalationConditions(
     public val remainingMillis: Double,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/FailureRate.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/FailureRate.kt
@@ -3,42 +3,43 @@
 import kotlin.math.exp
 
 /**
- * The part of recent requests that failed, with old ones fading away: an endpoint that was avoided is tried again after a
- * while. Not safe for use from several threads.
+ * Exponentially decaying share of requests that failed. The decay lets an endpoint that was avoided get requests again
+ * after a while. Not thread-safe.
  */
 public class FailureRate {
     private var failures = 0.0
     private var total = 0.0
-    private var at = 0L
+    private var decayedAt = 0L
 
+    /** Records the outcome of a request. */
     public fun record(
         failed: Boolean,
         now: Long,
     ) {
-        fade(now)
+        decay(now)
         total += 1
         if (failed) failures += 1
     }
 
-    /** The rate at [now], drawn towards zero while few requests are known. */
+    /** The rate at [now], biased towards zero while few requests are known. */
     public fun at(now: Long): Double {
-        fade(now)
+        decay(now)
         return failures / (total + PRIOR_REQUESTS)
     }
 
-    private fun fade(now: Long) {
-        if (now == at) return
-        val kept = if (total == 0.0) 0.0 else exp(-(now - at) / FADING_NANOS)
-        failures *= kept
-        total *= kept
-        at = now
+    private fun decay(now: Long) {
+        if (now == decayedAt) return
+        val factor = if (total == 0.0) 0.0 else exp(-(now - decayedAt) / DECAY_NANOS)
+        failures *= factor
+        total *= factor
+        decayedAt = now
     }
 
     private companion object {
-        /** A single failure is no sign of a bad endpoint. */
+        /** Imaginary successful requests, since a single failure is no sign of a bad endpoint. */
         const val PRIOR_REQUESTS = 3.0
 
-        /** Troubles of endpoints last seconds. */
-        const val FADING_NANOS = 6e9
+        /** Time constant of the decay; endpoint faults last seconds. */
+        const val DECAY_NANOS = 6e9
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ModelCascade.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/ModelCascade.kt
@@ -1,36 +1,39 @@
 package dev.almondhaven.decision.traffic
 
 /**
- * Chooses the model of a request whose caller leaves it open: the smallest first, and a larger one after an answer of low
- * confidence. A small model reads several times faster and costs a fraction, so that an answer that is dropped before
- * the caller has received any of it costs little beside one of the largest model.
+ * Chooses the model of a request whose caller leaves the choice open: first the smallest model, and a larger one if
+ * the answer has low confidence. A small model prefills several times faster and costs a fraction of the largest one,
+ * so discarding its answer before the caller has received any of it costs little.
  *
- * Confidence falls with the hardness of a request. An answer just below the bound is likely within reach of the next
- * larger model; further below only the largest will do. Where that one could not begin in time, the next larger one is
- * tried first: an answer of high confidence that is on time is worth more than a late one.
+ * Confidence falls as requests get harder. An answer just below the acceptance threshold is likely within reach of
+ * the next larger model; far below it only the largest model will do. If the largest model could not begin in time,
+ * the next larger one is tried first, since an answer of high confidence that is in time is worth more than a late
+ * one.
  *
- * Answers the load pattern of a burst or a loss of engines: every answer of the largest model takes the reading time of
- * ten small ones, and once all engines are busy it makes the answers of others late. Then another model is asked only
- * where it can begin within a part of the time left that grows with the doubt in the answer at hand; the rest keep it.
+ * During a burst or after a loss of engines, escalation itself is the danger: a prefill of the largest model takes as
+ * long as ten of a small one, and once all engines are busy it delays the answers of other requests. A request is
+ * then escalated only if the other model can begin within a fraction of the remaining time, a fraction that grows as
+ * the confidence of the present answer falls. The other requests keep their answers.
  */
 public class ModelCascade(
-    private val leastConfidence: Int = LEAST_CONFIDENCE,
-    private val nextConfidence: Int = NEXT_CONFIDENCE,
+    private val acceptedConfidence: Int = ACCEPTED_CONFIDENCE,
+    private val nextModelConfidence: Int = NEXT_MODEL_CONFIDENCE,
 ) {
     /**
-     * The first model to ask. Where the largest one can begin within [objectiveMillis] only if it is asked at once, it is:
-     * such a prompt is among the largest, and a late answer to it costs more than the model.
+     * The first of [models], ordered by size, to ask. This is the largest one if it can begin within
+     * [objectiveMillis] only when asked at once: such a prompt is among the longest, and a late answer costs more
+     * than the large model.
      */
     public fun firstModel(
         models: List<String>,
         objectiveMillis: Long,
-        expectedMillis: (String) -> Double,
+        expectedFirstTokenMillis: (String) -> Double,
     ): String {
-        val alone = expectedMillis(models.last())
-        if (alone < objectiveMillis * SHORT) return models.first()
-        val afterSmallest = alone + expectedMillis(models.first())
-        return if (alone < objectiveMillis * SURE &&
-            afterSmallest >= objectiveMillis * SURE
+        val largestAlone = expectedFirstTokenMillis(models.last())
+        if (largestAlone < objectiveMillis * SHORT_PREFILL_FRACTION) return models.first()
+        val largestAfterSmallest = largestAlone + expectedFirstTokenMillis(models.first())
+        return if (largestAlone < objectiveMillis * RELIABLE_FRACTION &&
+            largestAfterSmallest >= objectiveMillis * RELIABLE_FRACTION
         ) {
             models.last()
         } else {
@@ -38,69 +41,75 @@
         }
     }
 
-    /** The model to ask instead of going on with an answer of [model], or null to go on. */
+    /** The model to ask in place of [model], whose answer has this [confidence]; null to keep the answer. */
     public fun escalationTarget(
         models: List<String>,
         model: String,
         confidence: Int?,
-        outlook: EscalationConditions,
+        conditions: EscalationConditions,
     ): String? {
-        if (model == models.last() || confidence == null || confidence >= leastConfidence) return null
+        if (model == models.last() || confidence == null || confidence >= acceptedConfidence) return null
         val next = models[models.indexOf(model) + 1]
-        val preferred = if (confidence >= nextConfidence || prefersNext(models, next, outlook)) next else models.last()
-        return listOf(preferred, next).firstOrNull { worthWaitingFor(it, confidence, outlook) }
+        val nextIsEnough = confidence >= nextModelConfidence || onlyNextIsInTime(models, next, conditions)
+        val preferred = if (nextIsEnough) next else models.last()
+        return listOf(preferred, next).firstOrNull { isWorthwhile(it, confidence, conditions) }
     }
 
-    private fun prefersNext(
+    private fun onlyNextIsInTime(
         models: List<String>,
         next: String,
-        outlook: EscalationConditions,
+        conditions: EscalationConditions,
     ): Boolean =
-        outlook.expectedFirstTokenMillis(models.last()) >= outlook.remainingMillis &&
-            outlook.expectedFirstTokenMillis(next) < outlook.remainingMillis
+        conditions.expectedFirstTokenMillis(models.last()) >= conditions.remainingMillis &&
+            conditions.expectedFirstTokenMillis(next) < conditions.remainingMillis
 
     /**
-     * Whether an answer of [model] is likely worth more than the one at hand: a late answer is worth little beside one that
-     * may be right, and while engines are busy the less the answer at hand is worth, the longer it pays to wait.
+     * Whether an answer of [model] is likely worth more than the present one. A late answer is worth little compared
+     * with one that may be right. While engines are busy, a longer wait pays off the less the present answer is
+     * worth.
      */
-    private fun worthWaitingFor(
+    private fun isWorthwhile(
         model: String,
         confidence: Int,
-        outlook: EscalationConditions,
+        conditions: EscalationConditions,
     ): Boolean {
-        val expected = outlook.expectedFirstTokenMillis(model)
-        if (expected >= outlook.remainingMillis && confidence >= HOPELESS_CONFIDENCE) return false
-        return outlook.prefillBacklogMillis < CALM_BACKLOG_MILLIS ||
-            expected < outlook.remainingMillis * soon(confidence)
+        val expectedMillis = conditions.expectedFirstTokenMillis(model)
+        if (expectedMillis >= conditions.remainingMillis && confidence >= LATE_ANSWER_CONFIDENCE) return false
+        return conditions.prefillBacklogMillis < LOW_BACKLOG_MILLIS ||
+            expectedMillis < conditions.remainingMillis * waitFraction(confidence)
     }
 
-    private fun soon(confidence: Int): Double = LEAST_SOON + (MOST_SOON - LEAST_SOON) * (1 - confidence / FULL_DOUBT)
+    private fun waitFraction(confidence: Int): Double =
+        MINIMUM_WAIT_FRACTION +
+            (MAXIMUM_WAIT_FRACTION - MINIMUM_WAIT_FRACTION) * (1 - confidence / MINIMUM_WAIT_CONFIDENCE)
 
     public companion object {
-        /** With less reading waiting at an engine than this, another answer delays nobody much. */
-        private const val CALM_BACKLOG_MILLIS = 300.0
+        /** With less outstanding prefill per engine than this, an escalation hardly delays other requests. */
+        private const val LOW_BACKLOG_MILLIS = 300.0
 
         /**
-         * Part of the time left within which a model must be expected to begin while engines are busy: the first for an
-         * answer just below [LEAST_CONFIDENCE], the second for one of no confidence at all.
+         * Fraction of the remaining time within which a model must be expected to begin while engines are busy: the
+         * minimum for an answer just below [ACCEPTED_CONFIDENCE], the maximum for one of confidence 0.
          */
-        private const val LEAST_SOON = 0.5
-        private const val MOST_SOON = 0.9
-        private const val FULL_DOUBT = 60.0
+        private const val MINIMUM_WAIT_FRACTION = 0.5
+        private const val MAXIMUM_WAIT_FRACTION = 0.9
 
-        /** An answer below this confidence is right less often than a late one is worth beside one in time. */
-        private const val HOPELESS_CONFIDENCE = 25
+        /** Confidence at which the fraction is at its minimum. */
+        private const val MINIMUM_WAIT_CONFIDENCE = 60.0
 
-        /** Prompts that take less of the objective than this need no further look. */
-        private const val SHORT = 0.5
+        /** An answer below this confidence is so rarely right that even a late answer is worth more. */
+        private const val LATE_ANSWER_CONFIDENCE = 25
 
-        /** Expected times below this part of the objective are kept nearly always. */
-        private const val SURE = 0.95
+        /** Prompts that take less than this fraction of the objective always start with the smallest model. */
+        private const val SHORT_PREFILL_FRACTION = 0.5
 
-        /** Answers below this confidence are more often wrong than right. */
-        public const val LEAST_CONFIDENCE: Int = 60
+        /** An expected time below this fraction of the objective is nearly always met. */
+        private const val RELIABLE_FRACTION = 0.95
 
-        /** Down to here the next larger model is right more often than not. */
-        public const val NEXT_CONFIDENCE: Int = 45
+        /** Answers below this confidence are wrong more often than right. */
+        public const val ACCEPTED_CONFIDENCE: Int = 60
+
+        /** Down to this confidence the next larger model is right more often than wrong. */
+        public const val NEXT_MODEL_CONFIDENCE: Int = 45
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PlacementRequest.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PlacementRequest.kt
@@ -3,10 +3,10 @@
 import dev.almondhaven.traffic.PromptPart
 
 /**
- * What placing needs to know of a request.
+ * The properties of a request that determine its placement.
  *
  * @property model empty for plain services.
- * @property affinity requests with the same text share parts of their prompts; null if nothing is shared.
+ * @property affinity key of the shared prompt prefix, equal for all requests that share it; null if nothing is shared.
  */
 public data class PlacementRequest(
     public val model: String,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PrefillSpeed.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PrefillSpeed.kt
@@ -1,53 +1,53 @@
 package dev.almondhaven.decision.traffic
 
 /**
- * How long the engines of a service read prompts, learned from answers: the smallest time to the first event for each
- * token that had to be read. One estimate for each model, since larger ones are slower. Not safe for use from several
- * threads.
+ * Estimates how long the engines of a service take to prefill a prompt. It learns from the time to the first event of
+ * their responses, per uncached prompt token, and tracks the lowest values, which contain the least queueing. Each
+ * model has its own estimate, since larger models are slower. Not thread-safe.
  */
 public class PrefillSpeed {
     private val millisPerToken = HashMap<String, Double>()
 
-    /** Milliseconds that [model] takes to read [tokens]. */
+    /** Estimated milliseconds that [model] takes to prefill [tokens] uncached tokens. */
     public fun estimateMillis(
         model: String,
         tokens: Int,
-    ): Double = weighted(tokens) * (millisPerToken[model] ?: UNKNOWN_MILLIS_PER_TOKEN)
+    ): Double = weightedTokens(tokens) * (millisPerToken[model] ?: DEFAULT_MILLIS_PER_TOKEN)
 
-    /** Notes that [tokens] unread tokens took [millis] to the first event. */
+    /** Records that a request with [tokens] uncached prompt tokens took [millis] to its first event. */
     public fun record(
         model: String,
         tokens: Int,
         millis: Double,
     ) {
-        if (tokens < FEWEST_TOKENS) return
-        val seen = millis / weighted(tokens)
-        val held = millisPerToken[model]
+        if (tokens < MINIMUM_TOKENS) return
+        val sample = millis / weightedTokens(tokens)
+        val estimate = millisPerToken[model]
         millisPerToken[model] =
-            if (held ==
+            if (estimate ==
                 null
             ) {
-                minOf(seen, UNKNOWN_MILLIS_PER_TOKEN)
+                minOf(sample, DEFAULT_MILLIS_PER_TOKEN)
             } else {
-                held + (seen - held) * if (seen < held) FALL else RISE
+                estimate + (sample - estimate) * if (sample < estimate) DECREASE_WEIGHT else INCREASE_WEIGHT
             }
     }
 
-    /** Reading grows with the square of the prompt where attention outweighs the rest of the model. */
-    private fun weighted(tokens: Int): Double = tokens * (1 + tokens / ATTENTION_TOKENS)
+    /** Prefill time grows with the square of the prompt length where attention outweighs the rest of the model. */
+    private fun weightedTokens(tokens: Int): Double = tokens * (1 + tokens / ATTENTION_TOKENS)
 
     private companion object {
         /** Fixed costs dominate shorter prompts. */
-        const val FEWEST_TOKENS = 500
+        const val MINIMUM_TOKENS = 500
 
-        /** A 70-billion-parameter model reads about 20 tokens a millisecond or somewhat less. */
-        const val UNKNOWN_MILLIS_PER_TOKEN = 0.06
+        /** A 70-billion-parameter model prefills about 20 tokens per millisecond or somewhat fewer. */
+        const val DEFAULT_MILLIS_PER_TOKEN = 0.06
 
-        /** Length at which attention takes as long as the rest of a model of that size. */
+        /** Prompt length at which attention takes as long as the rest of a model of that size. */
         const val ATTENTION_TOKENS = 100_000.0
 
-        /** Waiting only ever adds, so what is seen below the estimate counts, and what is above hardly does. */
-        const val FALL = 0.5
-        const val RISE = 0.002
+        /** Queueing only ever adds time, so a sample below the estimate counts and one above it hardly does. */
+        const val DECREASE_WEIGHT = 0.5
+        const val INCREASE_WEIGHT = 0.002
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PrefixCacheView.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PrefixCacheView.kt
@@ -3,55 +3,55 @@
 import dev.almondhaven.traffic.PromptPart
 
 /**
- * The prompt parts that one endpoint is believed to have read for each model, from what this router has sent to it. Parts
- * count only while all parts before them are kept too. The least recently used ones yield. Not safe for use from several
- * threads.
+ * This router's estimate of one endpoint's prefix cache, from the prompts that it has sent there. A prompt part
+ * counts as cached only if all parts before it are cached too. Least recently used parts are evicted first. Not
+ * thread-safe.
  */
 public class PrefixCacheView(
     private val maximumTokens: Long,
 ) {
-    private data class Entry(
+    private data class Key(
         val model: String,
         val part: String,
     )
 
-    private val tokens = LinkedHashMap<Entry, Int>(INITIAL_ENTRIES, LOAD_FACTOR, true)
-    private var held = 0L
+    private val tokensByPart = LinkedHashMap<Key, Int>(INITIAL_ENTRIES, LOAD_FACTOR, true)
+    private var totalTokens = 0L
 
-    /** Tokens at the head of [parts] that need not be read again. */
+    /** Tokens at the start of a prompt of [parts] that need no prefill. */
     public fun cachedTokens(
         model: String,
         parts: List<PromptPart>,
     ): Int {
         var sum = 0
         for (part in parts) {
-            if (Entry(model, part.id) !in tokens) return sum
+            if (Key(model, part.id) !in tokensByPart) return sum
             sum += part.tokens
         }
         return sum
     }
 
-    /** Notes that the endpoint has read [parts]. */
+    /** Records that the endpoint has prefilled a prompt of [parts]. */
     public fun recordPrefill(
         model: String,
         parts: List<PromptPart>,
     ) {
-        // The first part is touched last, so that it yields last.
+        // The first part is touched last, so that it is evicted last.
         parts.asReversed().forEach { part ->
-            val before = tokens.put(Entry(model, part.id), part.tokens)
-            held += part.tokens - (before ?: 0)
+            val previous = tokensByPart.put(Key(model, part.id), part.tokens)
+            totalTokens += part.tokens - (previous ?: 0)
         }
-        val oldest = tokens.entries.iterator()
-        while (held > maximumTokens && oldest.hasNext()) {
-            held -= oldest.next().value
-            oldest.remove()
+        val leastRecentlyUsed = tokensByPart.entries.iterator()
+        while (totalTokens > maximumTokens && leastRecentlyUsed.hasNext()) {
+            totalTokens -= leastRecentlyUsed.next().value
+            leastRecentlyUsed.remove()
         }
     }
 
-    /** Forgets everything: the endpoint has started anew. */
+    /** Empties the view after the endpoint restarted. */
     public fun clear() {
-        tokens.clear()
-        held = 0
+        tokensByPart.clear()
+        totalTokens = 0
     }
 
     private companion object {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RemotePrefills.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RemotePrefills.kt
@@ -1,52 +1,53 @@
 package dev.almondhaven.decision.traffic
 
 /**
- * Prompts that other routers have announced to be read at one endpoint. An announcement ends with the one that revokes
- * it, or by itself if that is lost. Not safe for use from several threads.
+ * Outstanding prefills at one endpoint that other routers have announced. An announcement lasts until it is revoked, or
+ * expires if the revocation is lost. Not thread-safe.
  */
 public class RemotePrefills {
-    private class Entry(
+    private class Announcement(
         val millis: Double,
-        val until: Long,
+        val expiresAt: Long,
     )
 
-    private val entries = HashMap<String, Entry>()
+    private val announcements = HashMap<String, Announcement>()
 
-    /** Notes that the attempt [key] will keep the endpoint reading for [millis]. */
+    /** Records that the attempt [key] is estimated to keep the endpoint prefilling for [millis]. */
     public fun add(
         key: String,
         millis: Double,
         now: Long,
     ) {
-        if (!(millis > 0 && millis <= LONGEST_MILLIS)) return
-        if (entries.size >= MOST_ENTRIES) drop(now)
-        entries[key] = Entry(millis, now + ((millis * LIFE_FACTOR + LIFE_MILLIS) * NANOS_PER_MILLI).toLong())
+        if (!(millis > 0 && millis <= MAXIMUM_PREFILL_MILLIS)) return
+        if (announcements.size >= MAXIMUM_ANNOUNCEMENTS) removeExpired(now)
+        val lifetimeMillis = millis * LIFETIME_FACTOR + MINIMUM_LIFETIME_MILLIS
+        announcements[key] = Announcement(millis, now + (lifetimeMillis * NANOS_PER_MILLI).toLong())
     }
 
-    /** Notes that the attempt [key] no longer reads. */
+    /** Records that the prefill of the attempt [key] has ended. */
     public fun remove(key: String) {
-        entries.remove(key)
+        announcements.remove(key)
     }
 
-    /** Milliseconds of reading that wait at the endpoint. */
+    /** Total estimated milliseconds of the announced prefills. */
     public fun totalMillis(now: Long): Double {
-        if (entries.isEmpty()) return 0.0
-        drop(now)
-        return entries.values.sumOf { it.millis }
+        if (announcements.isEmpty()) return 0.0
+        removeExpired(now)
+        return announcements.values.sumOf { it.millis }
     }
 
-    private fun drop(now: Long) {
-        entries.values.removeIf { it.until - now <= 0 }
+    private fun removeExpired(now: Long) {
+        announcements.values.removeIf { it.expiresAt - now <= 0 }
     }
 
     private companion object {
-        /** No prompt takes longer; a larger figure is a damaged announcement. */
-        const val LONGEST_MILLIS = 60_000.0
+        /** No prefill takes longer; a larger value comes from a corrupt announcement. */
+        const val MAXIMUM_PREFILL_MILLIS = 60_000.0
 
-        /** An announcement whose end was lost must not keep an endpoint idle for long. */
-        const val LIFE_FACTOR = 2.0
-        const val LIFE_MILLIS = 500.0
-        const val MOST_ENTRIES = 512
+        /** An announcement whose revocation was lost must not keep an endpoint idle for long. */
+        const val LIFETIME_FACTOR = 2.0
+        const val MINIMUM_LIFETIME_MILLIS = 500.0
+        const val MAXIMUM_ANNOUNCEMENTS = 512
         const val NANOS_PER_MILLI = 1e6
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RollOutSchedule.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/RollOutSchedule.kt
@@ -3,13 +3,14 @@
 import kotlin.time.Duration
 
 /**
- * How much of a service's traffic goes to a new version, and when the move is complete.
+ * Schedule by which a service's traffic shifts to a new version.
  *
- * A small constant part of the sessions tries the new version for the first half of the time: the operator forbids moving
- * running sessions then, and a bad version must get few requests. If nothing speaks against it the part grows to all, early
- * enough that what runs at the old endpoints ends before they are stopped.
+ * During the first half of the time a small, constant share of the sessions runs on the new version as a canary: the
+ * operator forbids moving running sessions then, and a bad version must get few requests. Unless the canary fails, the
+ * share then grows to all sessions, early enough that requests still running at the old endpoints end before those are
+ * stopped.
  *
- * @property timeLimit time that the operator gives the move.
+ * @property timeLimit time that the operator allows for the whole roll-out.
  */
 public class RollOutSchedule(
     private val timeLimit: Duration,
@@ -18,17 +19,17 @@
         require(timeLimit.isPositive()) { "timeLimit must be positive, got $timeLimit" }
     }
 
-    /** Part of the sessions that go to the new version after [elapsed], from 0 to 1. */
+    /** Share of the sessions that run on the new version after [elapsed], from 0 to 1. */
     public fun share(elapsed: Duration): Double {
-        val passed = elapsed / timeLimit
+        val progress = elapsed / timeLimit
         return when {
-            passed < GROWTH_BEGINS -> {
-                TRIAL_SHARE
+            progress < RAMP_START -> {
+                CANARY_SHARE
             }
 
-            passed < GROWTH_ENDS -> {
-                TRIAL_SHARE +
-                    (1 - TRIAL_SHARE) * (passed - GROWTH_BEGINS) / (GROWTH_ENDS - GROWTH_BEGINS)
+            progress < RAMP_END -> {
+                CANARY_SHARE +
+                    (1 - CANARY_SHARE) * (progress - RAMP_START) / (RAMP_END - RAMP_START)
             }
 
             else -> {
@@ -37,19 +38,21 @@
         }
     }
 
-    /** Whether sessions may change to the new version after [elapsed]. */
-    public fun allowsSessionMoves(elapsed: Duration): Boolean = elapsed / timeLimit >= GROWTH_BEGINS
+    /** Whether sessions may move to the new version after [elapsed]. */
+    public fun allowsSessionMoves(elapsed: Duration): Boolean = elapsed / timeLimit >= RAMP_START
 
     /** Whether the old endpoints are no longer needed after [elapsed]. */
-    public fun isComplete(elapsed: Duration): Boolean = elapsed / timeLimit >= COMPLETE
+    public fun isComplete(elapsed: Duration): Boolean = elapsed / timeLimit >= COMPLETION
 
     private companion object {
-        /** Enough requests to find a version that fails often, well below what a bad one may get. */
-        const val TRIAL_SHARE = 0.08
-        const val GROWTH_BEGINS = 0.52
-        const val GROWTH_ENDS = 0.66
+        /** Gives enough requests to detect a version that fails often, and far fewer than a bad version may get. */
+        const val CANARY_SHARE = 0.08
 
-        /** Streams that began at an old endpoint have ended by then. */
-        const val COMPLETE = 0.9
+        /** Fractions of the time limit between which the share grows to all sessions. */
+        const val RAMP_START = 0.52
+        const val RAMP_END = 0.66
+
+        /** Fraction of the time limit after which streams that began at an old endpoint have ended. */
+        const val COMPLETION = 0.9
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/SessionVersions.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/SessionVersions.kt
@@ -4,80 +4,81 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The versions of one service that sessions last ran on, at this router or, as far as they say so, at others. A session counts from its first run until [gap] after the end of
- * its last one; a request that comes later begins a new session. What counts is where a request did run, not where it
- * was meant to: while no endpoint of a version is listed another version runs it. Not safe for use from several threads.
+ * The version of one service that each session last ran on, at this router or at other routers that announced it. A
+ * session is active from its first request until [idleTimeout] after the end of its latest one; a later request
+ * starts a new session. The version recorded is the one that actually ran the request rather than the one assigned to
+ * it, since another version runs the request while no endpoint of the assigned one is listed. Not thread-safe.
  */
 public class SessionVersions(
-    private val gap: Duration,
+    private val idleTimeout: Duration,
 ) {
     private class Session(
         var version: String,
-        var running: Int,
-        var keptUntil: Long,
+        var runningRequests: Int,
+        var expiresAt: Long,
     ) {
-        fun keptAt(now: Long): Boolean = running > 0 || keptUntil - now > 0
+        fun isActive(now: Long): Boolean = runningRequests > 0 || expiresAt - now > 0
     }
 
     private val sessions =
         object : LinkedHashMap<String, Session>(INITIAL_SESSIONS, LOAD_FACTOR, true) {
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, Session>): Boolean =
-                size > MOST_SESSIONS
+                size > MAXIMUM_SESSIONS
         }
 
-    /** Notes that a request of [session] begins to run on [version] at [now]. */
+    /** Records that a request of [session] starts to run on [version] at [now]. */
     public fun recordStart(
         session: String,
         version: String,
         now: Long,
     ) {
-        val held = sessions.getOrPut(session) { Session(version, running = 0, keptUntil = now) }
-        held.version = version
-        held.running++
+        val entry = sessions.getOrPut(session) { Session(version, runningRequests = 0, expiresAt = now) }
+        entry.version = version
+        entry.runningRequests++
     }
 
-    /** Notes that another router runs a request of [session] on [version], or has done so until [now]. */
+    /** Records that another router is [running] a request of [session] on [version], or ended one at [now]. */
     public fun recordRemoteRun(
         session: String,
         version: String,
         running: Boolean,
         now: Long,
     ) {
-        val held = sessions.getOrPut(session) { Session(version, running = 0, keptUntil = now) }
-        held.version = version
-        held.keptUntil = now + (if (running) gap + LONGEST_RUN else gap).inWholeNanoseconds
+        val entry = sessions.getOrPut(session) { Session(version, runningRequests = 0, expiresAt = now) }
+        entry.version = version
+        entry.expiresAt = now + (if (running) idleTimeout + MAXIMUM_REMOTE_RUN else idleTimeout).inWholeNanoseconds
     }
 
-    /** Sessions that count at [now] and whether a run of theirs goes on here, for each its version. */
+    /** Sessions that are active at [now], each with its version. */
     public fun activeSessions(now: Long): List<ActiveSession> =
-        sessions.filterValues { it.keptAt(now) }.map { (id, held) ->
-            ActiveSession(id, held.version, held.running > 0)
+        sessions.filterValues { it.isActive(now) }.map { (id, entry) ->
+            ActiveSession(id, entry.version, entry.runningRequests > 0)
         }
 
-    /** Notes that a run of [session] has ended at [now]. */
+    /** Records that a request of [session] ended at [now]. */
     public fun recordEnd(
         session: String,
         now: Long,
     ) {
-        val held = sessions[session] ?: return
-        held.running--
-        held.keptUntil = now + gap.inWholeNanoseconds
+        val entry = sessions[session] ?: return
+        entry.runningRequests--
+        entry.expiresAt = now + idleTimeout.inWholeNanoseconds
     }
 
-    /** The version that a request of [session] belongs to at [now], or null if it begins a new session. */
+    /** The version that a request of [session] at [now] must keep to, or null if the request starts a new session. */
     public fun versionOf(
         session: String,
         now: Long,
-    ): String? = sessions[session]?.takeIf { it.keptAt(now) }?.version
+    ): String? = sessions[session]?.takeIf { it.isActive(now) }?.version
 
     private companion object {
         const val INITIAL_SESSIONS = 64
         const val LOAD_FACTOR = 0.75f
 
-        /** Some megabytes at most; more sessions than one router sees within the gap. */
-        const val MOST_SESSIONS = 20_000
+        /** More sessions than one router serves within the idle timeout; takes some megabytes at most. */
+        const val MAXIMUM_SESSIONS = 20_000
 
-        /** A run elsewhere whose end is never heard of is over by then: streams of the longest answers take this long. */
-        val LONGEST_RUN = 10.seconds
+        /** The longest streams take this long, so a remote request whose end was never announced has ended by then. */
+        val MAXIMUM_REMOTE_RUN = 10.seconds
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudget.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudget.kt
@@ -3,13 +3,15 @@
 import kotlin.time.Duration
 
 /**
- * This router's part of the repeats that a service may get: in any span of [window], [ratio] for each request and [slack]
- * beyond. If each router keeps its part, all of them together keep the sum. Not safe for use from several threads.
+ * This router's share of a service's retry budget: in any sliding [window], [ratio] retries for each request plus
+ * [slack]. If every router stays within its share, all of them together stay within the service's budget. Not
+ * thread-safe.
  *
- * Answers the load pattern of requests that come in clumps, each of which may need a larger model: what the requests of the
- * last seconds have earned and not spent is there for the clump, where a small store of saved repeats would run dry.
+ * Designed for requests that arrive in bursts and each need a second attempt on a larger model: the window keeps the
+ * retries that earlier requests earned and did not use, whereas a token bucket of small capacity would be empty
+ * before the burst ends.
  *
- * @property window the span over which repeats are counted.
+ * @property window the time span over which requests and retries are counted.
  */
 public class SlidingRetryBudget(
     private val window: Duration,
@@ -17,9 +19,9 @@
     private val slack: Double,
 ) {
     private class Slot(
-        var period: Long = NEVER,
+        var period: Long = UNUSED_PERIOD,
         var requests: Int = 0,
-        var repeats: Int = 0,
+        var retries: Int = 0,
     )
 
     private val slotNanos = window.inWholeNanoseconds / SLOTS
@@ -31,28 +33,28 @@
         require(slack >= 0) { "slack must not be negative, got $slack" }
     }
 
-    /** Notes a request of a caller at [now]. */
+    /** Records a caller's request at [now]. */
     public fun recordRequest(now: Long) {
         slotAt(now).requests++
     }
 
-    /** Repeats that may be spent at [now] by a use that may take [share] of all. */
+    /** Retries available at [now] to a purpose that may use up to [share] of the whole budget. */
     public fun available(
         now: Long,
         share: Double = 1.0,
     ): Double {
         val period = now.floorDiv(slotNanos)
         val counted = slots.filter { period - it.period in 0 until SLOTS }
-        return share * (ratio * counted.sumOf { it.requests } + slack) - counted.sumOf { it.repeats }
+        return share * (ratio * counted.sumOf { it.requests } + slack) - counted.sumOf { it.retries }
     }
 
-    /** Spends one repeat at [now] for a use that may take [share] of all; false if none is left for it. */
+    /** Spends one retry at [now] for a purpose that may use up to [share] of the budget; false if none is available. */
     public fun trySpend(
         now: Long,
         share: Double = 1.0,
     ): Boolean {
         if (available(now, share) < 1) return false
-        slotAt(now).repeats++
+        slotAt(now).retries++
         return true
     }
 
@@ -62,14 +64,14 @@
         if (slot.period != period) {
             slot.period = period
             slot.requests = 0
-            slot.repeats = 0
+            slot.retries = 0
         }
         return slot
     }
 
     private companion object {
-        /** Finer slots forget more evenly; twenty make steps of half a second in ten. */
+        /** More slots make the window slide more smoothly; 20 make steps of half a second in a window of 10 s. */
         const val SLOTS = 20
-        const val NEVER = Long.MIN_VALUE / 2
+        const val UNUSED_PERIOD = Long.MIN_VALUE / 2
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/WarmUpRateLimiter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/WarmUpRateLimiter.kt
@@ -1,16 +1,17 @@
 package dev.almondhaven.decision.traffic
 
 /**
- * This router's part of the requests that one cold endpoint bears. The bound is of all routers together, so each takes
- * an equal part; a router that overestimates their number only sends less. Not safe for use from several threads.
+ * Limits the request rate that this router sends to an endpoint while it is cold. The platform bounds the rate of all
+ * routers together, so each router takes an equal share; overestimating the number of routers only makes it send less.
+ * Not thread-safe.
  */
 public class WarmUpRateLimiter(
     now: Long,
 ) {
     private var coldUntil = now
-    private var nextAt = now
+    private var nextSendAt = now
 
-    /** Treats the endpoint as cold until [until], if that is later than what is known. */
+    /** Extends the cold period to [until]; an earlier time than the current end is ignored. */
     public fun extendTo(until: Long) {
         if (until - coldUntil > 0) coldUntil = until
     }
@@ -18,10 +19,13 @@
     /** Whether the endpoint is cold at [now]. */
     public fun isCold(now: Long): Boolean = coldUntil - now > 0
 
-    /** Whether a request may be sent at [now]. */
-    public fun admits(now: Long): Boolean = !isCold(now) || now - nextAt >= 0
+    /** Whether a request may be sent at [now]; always true once the endpoint is warm. */
+    public fun admits(now: Long): Boolean = !isCold(now) || now - nextSendAt >= 0
 
-    /** Notes a request sent at [now], of [perSecond] that all routers may send and [routers] that share them. */
+    /**
+     * Records a request sent at [now]. The next one is due after this router's share of the limit of [perSecond]
+     * requests, which is split evenly among [routers].
+     */
     public fun recordSent(
         now: Long,
         perSecond: Double,
@@ -29,7 +33,7 @@
     ) {
         if (perSecond <= 0) return
         val share = perSecond / routers.coerceAtLeast(1)
-        nextAt = maxOf(nextAt, now) + (NANOS_PER_SECOND / share).toLong()
+        nextSendAt = maxOf(nextSendAt, now) + (NANOS_PER_SECOND / share).toLong()
     }
 
     private companion object {
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/CanaryComparisonTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/CanaryComparisonTest.kt
@@ -11,40 +11,46 @@
 class CanaryComparisonTest {
     private val draws = Arb.double(0.0, 1.0)
 
-    /** Answers of the new version until it is found bad, at most [most]; the old version fails at [oldRate]. */
-    private fun answersUntilBad(
-        newRate: Double,
+    /** Answers of the canary until it is rejected; null if that takes more than [maximumAnswers]. */
+    private fun answersUntilRejected(
+        canaryRate: Double,
         oldRate: Double,
-        most: Int,
+        maximumAnswers: Int,
         seed: Long,
     ): Int? {
         val random = RandomSource.seeded(seed)
-        val evidence = CanaryComparison()
+        val comparison = CanaryComparison()
 
         fun fails(rate: Double) = draws.sample(random).value < rate
-        for (answer in 1..most) {
-            repeat(10) { evidence.record(isCanary = false, fails(oldRate)) }
-            evidence.record(isCanary = true, fails(newRate))
-            if (evidence.isCanaryWorse()) return answer
+        for (answer in 1..maximumAnswers) {
+            repeat(10) { comparison.record(isCanary = false, fails(oldRate)) }
+            comparison.record(isCanary = true, fails(canaryRate))
+            if (comparison.isCanaryWorse()) return answer
         }
         return null
     }
 
     @Nested
-    inner class `a version that fails two requests in five` {
+    inner class `a canary that fails two requests in five` {
         @Test
-        fun `is found within 30 answers in nine of ten roll-outs`() {
-            val found = (1L..200L).map { answersUntilBad(newRate = 0.4, oldRate = 0.0, most = 30, seed = it) }
-            expectThat(found.count { it == null }).isLessThanOrEqualTo(20)
+        fun `is rejected within 30 answers in nine of ten roll-outs`() {
+            val rejectedAfter =
+                (1L..200L).map {
+                    answersUntilRejected(canaryRate = 0.4, oldRate = 0.0, maximumAnswers = 30, seed = it)
+                }
+            expectThat(rejectedAfter.count { it == null }).isLessThanOrEqualTo(20)
         }
     }
 
     @Nested
-    inner class `a version that is as good as the old one` {
+    inner class `a canary that is as good as the old version` {
         @Test
-        fun `is taken for bad in one of fifty roll-outs at most`() {
-            val found = (1L..300L).map { answersUntilBad(newRate = 0.14, oldRate = 0.14, most = 150, seed = it) }
-            expectThat(found.count { it != null }).isLessThanOrEqualTo(6)
+        fun `is rejected in one of fifty roll-outs at most`() {
+            val rejectedAfter =
+                (1L..300L).map {
+                    answersUntilRejected(canaryRate = 0.14, oldRate = 0.14, maximumAnswers = 150, seed = it)
+                }
+            expectThat(rejectedAfter.count { it != null }).isLessThanOrEqualTo(6)
         }
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/ConfigurationAgeTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/ConfigurationAgeTest.kt
@@ -8,35 +8,35 @@
 import kotlin.time.Duration.Companion.seconds
 
 class ConfigurationAgeTest {
-    private val proof = ConfigurationAge(lifetime = 4.seconds)
+    private val configurationAge = ConfigurationAge(lifetime = 4.seconds)
     private val second = 1_000_000_000L
 
     @Nested
-    inner class `a proof` {
+    inner class `a configuration` {
         @Test
-        fun `does not hold before the first read`() {
-            expectThat(proof.isFresh(0, 0)).isEqualTo(false)
-            expectThat(proof.age(0, 0)).isEqualTo(Duration.INFINITE)
+        fun `is not fresh before the first confirmation`() {
+            expectThat(configurationAge.isFresh(0, 0)).isEqualTo(false)
+            expectThat(configurationAge.age(0, 0)).isEqualTo(Duration.INFINITE)
         }
 
         @Test
-        fun `holds until its lifetime has passed`() {
-            proof.confirm(10 * second, 1_000)
+        fun `is fresh until its lifetime has passed`() {
+            configurationAge.confirm(10 * second, 1_000)
             expectThat(
-                listOf(13L, 14L).map { proof.isFresh(it * second, 1_000 + (it - 10) * 1_000) },
+                listOf(13L, 14L).map { configurationAge.isFresh(it * second, 1_000 + (it - 10) * 1_000) },
             ).isEqualTo(listOf(true, false))
         }
 
         @Test
-        fun `lapses while the process was suspended, though the steady clock stood still`() {
-            proof.confirm(10 * second, 1_000)
-            expectThat(proof.isFresh(10 * second, wallMillis = 7_000)).isEqualTo(false)
+        fun `expires while the process is suspended, although the monotonic clock stands still`() {
+            configurationAge.confirm(10 * second, 1_000)
+            expectThat(configurationAge.isFresh(10 * second, wallMillis = 7_000)).isEqualTo(false)
         }
 
         @Test
-        fun `is not made younger by a time of day that jumps back`() {
-            proof.confirm(10 * second, 60_000)
-            expectThat(proof.age(13 * second, wallMillis = 0)).isEqualTo(3.seconds)
+        fun `does not become younger when the wall clock jumps back`() {
+            configurationAge.confirm(10 * second, 60_000)
+            expectThat(configurationAge.age(13 * second, wallMillis = 0)).isEqualTo(3.seconds)
         }
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/EndpointPlacementTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/EndpointPlacementTest.kt
@@ -18,7 +18,7 @@
 
 class EndpointPlacementTest {
     private val second = 1_000_000_000L
-    private val speed = PrefillSpeed()
+    private val prefillSpeed = PrefillSpeed()
     private val group = EjectionGroup(0.9)
     private val random = RandomSource.SPLIT_MIX_64.create(1L)
     private val placement = EndpointPlacement(FailureDomainId("here"))
@@ -40,10 +40,11 @@
                 coldLeft = Duration.ZERO,
                 bornMillis = 1,
             )
-        return EndpointView(listing, group, memoryTokens = 100_000, speed, now = 0)
+        return EndpointView(listing, group, memoryTokens = 100_000, prefillSpeed, now = 0)
     }
 
-    private val plain = PlacementRequest(model = "", promptTokens = 0, promptParts = emptyList(), affinity = null)
+    private val plainRequest =
+        PlacementRequest(model = "", promptTokens = 0, promptParts = emptyList(), affinity = null)
 
     private fun prompt(
         subject: String,
@@ -56,29 +57,29 @@
     @Nested
     inner class `a plain service` {
         @Test
-        fun `is served by the own failure domain while that has room`() {
+        fun `is served in its own failure domain while that has free slots`() {
             val near = endpoint("near")
             val far = endpoint("far", domain = "there")
-            expectThat(placement.choose(listOf(far, near), plain, 0)).isEqualTo(near)
+            expectThat(placement.choose(listOf(far, near), plainRequest, 0)).isEqualTo(near)
             repeat(4) { near.recordStart(0.0) }
-            expectThat(placement.choose(listOf(far, near), plain, 0)).isEqualTo(far)
+            expectThat(placement.choose(listOf(far, near), plainRequest, 0)).isEqualTo(far)
         }
 
         @Test
-        fun `is not sent to an endpoint that fails part of its requests, until that has faded`() {
-            val grey = endpoint("grey")
-            val sound = endpoint("sound", domain = "there")
-            repeat(10) { if (it % 2 == 0) grey.recordFailure(0, random) else grey.recordSuccess(0) }
-            expectThat(placement.choose(listOf(grey, sound), plain, 0)).isEqualTo(sound)
-            expectThat(placement.choose(listOf(grey, sound), plain, 30 * second)).isEqualTo(grey)
+        fun `avoids an endpoint that fails some requests until its failure rate has decayed`() {
+            val flaky = endpoint("flaky")
+            val healthy = endpoint("healthy", domain = "there")
+            repeat(10) { if (it % 2 == 0) flaky.recordFailure(0, random) else flaky.recordSuccess(0) }
+            expectThat(placement.choose(listOf(flaky, healthy), plainRequest, 0)).isEqualTo(healthy)
+            expectThat(placement.choose(listOf(flaky, healthy), plainRequest, 30 * second)).isEqualTo(flaky)
         }
 
         @Test
-        fun `counts the requests that other routers have sent, as the endpoint reports them`() {
+        fun `takes the requests of other routers from the load report of the endpoint`() {
             val busy = endpoint("busy").apply { recordLoad(ReportedLoad(running = 8, waiting = 3, slots = 8), 0) }
             val free = endpoint("free", domain = "there")
-            expectThat(placement.choose(listOf(busy, free), plain, 0)).isEqualTo(free)
-            expectThat(placement.choose(listOf(busy, free), plain, 2 * second)).isEqualTo(busy)
+            expectThat(placement.choose(listOf(busy, free), plainRequest, 0)).isEqualTo(free)
+            expectThat(placement.choose(listOf(busy, free), plainRequest, 2 * second)).isEqualTo(busy)
         }
     }
 
@@ -87,7 +88,7 @@
         private val engines = List(6) { endpoint("engine$it") }
 
         @Test
-        fun `goes to the same engine from every router, by the part that it shares`() {
+        fun `goes to the same engine from every router if it shares a prefix`() {
             val other = EndpointPlacement(FailureDomainId("here"))
             val subjects = (1..20).map { prompt("subject$it") }
             val chosen = subjects.map { placement.choose(engines, it, 0) }
@@ -98,38 +99,38 @@
         }
 
         @Test
-        fun `goes elsewhere while its engine reads a long prompt of another router`() {
-            val home = placement.choose(engines, prompt("subject"), 0)!!
-            home.remotePrefills.add("other", millis = 3_000.0, now = 0)
-            expectThat(placement.choose(engines, prompt("subject"), 0)).isNotEqualTo(home)
-            home.remotePrefills.remove("other")
-            expectThat(placement.choose(engines, prompt("subject"), 0)).isEqualTo(home)
+        fun `avoids its preferred engine during a long prefill for another router`() {
+            val preferred = placement.choose(engines, prompt("subject"), 0)!!
+            preferred.remotePrefills.add("other", millis = 3_000.0, now = 0)
+            expectThat(placement.choose(engines, prompt("subject"), 0)).isNotEqualTo(preferred)
+            preferred.remotePrefills.remove("other")
+            expectThat(placement.choose(engines, prompt("subject"), 0)).isEqualTo(preferred)
         }
 
         @Test
-        fun `goes elsewhere while its engine is set aside`() {
-            val home = placement.choose(engines, prompt("subject"), 0)!!
-            home.recordUnreachable(0, random)
-            expectThat(placement.choose(engines, prompt("subject"), 0)).isNotEqualTo(home)
+        fun `avoids its preferred engine while that is ejected`() {
+            val preferred = placement.choose(engines, prompt("subject"), 0)!!
+            preferred.recordUnreachable(0, random)
+            expectThat(placement.choose(engines, prompt("subject"), 0)).isNotEqualTo(preferred)
         }
     }
 
     @Nested
-    inner class `an announced reading` {
+    inner class `an announced prefill` {
         @Test
-        fun `ends by itself if its end is lost`() {
-            val reading = RemotePrefills()
-            reading.add("a", millis = 1_000.0, now = 0)
+        fun `expires if its revocation is lost`() {
+            val prefills = RemotePrefills()
+            prefills.add("a", millis = 1_000.0, now = 0)
             expectThat(
-                listOf(0L, 2 * second, 3 * second).map(reading::totalMillis),
+                listOf(0L, 2 * second, 3 * second).map(prefills::totalMillis),
             ).isEqualTo(listOf(1_000.0, 1_000.0, 0.0))
         }
 
         @Test
-        fun `that no prompt can cause is ignored`() {
-            val reading = RemotePrefills()
-            listOf(-5.0, 1e9, Double.NaN).forEach { reading.add("a", it, 0) }
-            expectThat(reading.totalMillis(0)).isEqualTo(0.0)
+        fun `of an impossible duration is ignored`() {
+            val prefills = RemotePrefills()
+            listOf(-5.0, 1e9, Double.NaN).forEach { prefills.add("a", it, 0) }
+            expectThat(prefills.totalMillis(0)).isEqualTo(0.0)
         }
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/ModelCascadeTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/ModelCascadeTest.kt
@@ -6,16 +6,16 @@
 import strikt.assertions.isEqualTo
 
 class ModelCascadeTest {
-    private val sizing = ModelCascade()
+    private val cascade = ModelCascade()
     private val models = listOf("small", "middle", "large")
 
-    private fun instead(
+    private fun escalationTarget(
         model: String,
         confidence: Int?,
         late: Set<String> = emptySet(),
         backlogMillis: Double = 0.0,
     ): String? {
-        val outlook =
+        val conditions =
             EscalationConditions(remainingMillis = 1_000.0, backlogMillis) {
                 if (it in
                     late
@@ -25,18 +25,18 @@
                     backlogMillis
                 }
             }
-        return sizing.escalationTarget(models, model, confidence, outlook)
+        return cascade.escalationTarget(models, model, confidence, conditions)
     }
 
     @Nested
     inner class `the first model` {
-        private fun first(largeMillis: Double) =
-            sizing.firstModel(models, objectiveMillis = 3_000) { if (it == "large") largeMillis else largeMillis / 10 }
+        private fun firstModel(largeMillis: Double) =
+            cascade.firstModel(models, objectiveMillis = 3_000) { if (it == "large") largeMillis else largeMillis / 10 }
 
         @Test
-        fun `is the small one, unless only the large one asked at once would be in time`() {
+        fun `is the small one unless the large one is in time only if asked at once`() {
             expectThat(
-                listOf(200.0, 2_500.0, 2_700.0, 2_900.0).map(::first),
+                listOf(200.0, 2_500.0, 2_700.0, 2_900.0).map(::firstModel),
             ).isEqualTo(listOf("small", "small", "large", "small"))
         }
     }
@@ -44,27 +44,27 @@
     @Nested
     inner class `an answer of the small model` {
         @Test
-        fun `is kept when it is confident or says nothing of it`() {
-            expectThat(listOf(100, 60, null).map { instead("small", it) }).isEqualTo(listOf(null, null, null))
+        fun `is kept when its confidence is high or unknown`() {
+            expectThat(listOf(100, 60, null).map { escalationTarget("small", it) }).isEqualTo(listOf(null, null, null))
         }
 
         @Test
-        fun `gives way to the middle model when it is nearly good enough, to the large one otherwise`() {
+        fun `is escalated to the middle model if nearly good enough, otherwise to the large one`() {
             expectThat(
-                listOf(59, 45, 44, 0).map { instead("small", it) },
+                listOf(59, 45, 44, 0).map { escalationTarget("small", it) },
             ).isEqualTo(listOf("middle", "middle", "large", "large"))
         }
 
         @Test
-        fun `gives way to the middle model where only that one would be in time`() {
-            expectThat(instead("small", 10, late = setOf("large"))).isEqualTo("middle")
-            expectThat(instead("small", 10, late = setOf("large", "middle"))).isEqualTo("large")
+        fun `is escalated to the middle model if only that one would be in time`() {
+            expectThat(escalationTarget("small", 10, late = setOf("large"))).isEqualTo("middle")
+            expectThat(escalationTarget("small", 10, late = setOf("large", "middle"))).isEqualTo("large")
         }
 
         @Test
-        fun `is kept where no larger one would be in time, unless it is hardly ever right`() {
+        fun `is kept if no larger model would be in time, unless its confidence is very low`() {
             val late = setOf("large", "middle")
-            expectThat(listOf(59, 45, 30, 25, 24).map { instead("small", it, late) })
+            expectThat(listOf(59, 45, 30, 25, 24).map { escalationTarget("small", it, late) })
                 .isEqualTo(listOf(null, null, null, null, "large"))
         }
     }
@@ -72,19 +72,19 @@
     @Nested
     inner class `an answer of low confidence while engines are busy` {
         @Test
-        fun `gives way to a model that begins within a part of the time left that grows with the doubt`() {
+        fun `is escalated if the model begins within a time limit that grows as confidence falls`() {
             val backlogs = listOf(400.0, 560.0, 820.0, 880.0, 920.0)
-            expectThat(backlogs.map { instead("small", 0, backlogMillis = it) })
+            expectThat(backlogs.map { escalationTarget("small", 0, backlogMillis = it) })
                 .isEqualTo(listOf("large", "large", "large", "large", null))
-            expectThat(backlogs.map { instead("small", 10, backlogMillis = it) })
+            expectThat(backlogs.map { escalationTarget("small", 10, backlogMillis = it) })
                 .isEqualTo(listOf("large", "large", "large", null, null))
-            expectThat(backlogs.map { instead("small", 59, backlogMillis = it) })
+            expectThat(backlogs.map { escalationTarget("small", 59, backlogMillis = it) })
                 .isEqualTo(listOf("middle", null, null, null, null))
         }
 
         @Test
-        fun `gives way to the middle model where the large one would take too long`() {
-            fun outlook(large: Double) =
+        fun `is escalated to the middle model if the large one would take too long`() {
+            fun conditions(large: Double) =
                 EscalationConditions(remainingMillis = 1_000.0, prefillBacklogMillis = 400.0) {
                     if (it ==
                         "large"
@@ -94,22 +94,22 @@
                         500.0
                     }
                 }
-            expectThat(listOf(850.0, 880.0, 950.0).map { sizing.escalationTarget(models, "small", 5, outlook(it)) })
+            expectThat(listOf(850.0, 880.0, 950.0).map { cascade.escalationTarget(models, "small", 5, conditions(it)) })
                 .isEqualTo(listOf("large", "middle", "middle"))
         }
 
         @Test
-        fun `is kept where the only better model would be late`() {
-            expectThat(instead("small", 50, late = setOf("middle"), backlogMillis = 400.0)).isEqualTo(null)
+        fun `is kept if the only better model would be late`() {
+            expectThat(escalationTarget("small", 50, late = setOf("middle"), backlogMillis = 400.0)).isEqualTo(null)
         }
     }
 
     @Nested
     inner class `an answer of a larger model` {
         @Test
-        fun `gives way to the large one only`() {
-            expectThat(listOf(59, 60).map { instead("middle", it) }).isEqualTo(listOf("large", null))
-            expectThat(instead("large", 0)).isEqualTo(null)
+        fun `is escalated to the large model only`() {
+            expectThat(listOf(59, 60).map { escalationTarget("middle", it) }).isEqualTo(listOf("large", null))
+            expectThat(escalationTarget("large", 0)).isEqualTo(null)
         }
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/PrefixCacheViewTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/PrefixCacheViewTest.kt
@@ -9,15 +9,15 @@
 class PrefixCacheViewTest {
     private val cache = PrefixCacheView(maximumTokens = 1_000)
     private val system = PromptPart("system", 300)
-    private val dossier = PromptPart("dossier", 400)
-    private val own = PromptPart("own", 200)
+    private val document = PromptPart("document", 400)
+    private val question = PromptPart("question", 200)
 
     @Nested
     inner class `a cache` {
         @Test
-        fun `holds the head of a prompt that it has read`() {
-            cache.recordPrefill("m", listOf(system, dossier, own))
-            expectThat(cache.cachedTokens("m", listOf(system, dossier, PromptPart("other", 50)))).isEqualTo(700)
+        fun `holds the shared prefix of a prompt after its prefill`() {
+            cache.recordPrefill("m", listOf(system, document, question))
+            expectThat(cache.cachedTokens("m", listOf(system, document, PromptPart("other", 50)))).isEqualTo(700)
         }
 
         @Test
@@ -27,16 +27,16 @@
         }
 
         @Test
-        fun `counts no part behind one that it lacks`() {
-            cache.recordPrefill("m", listOf(system, dossier))
-            expectThat(cache.cachedTokens("m", listOf(PromptPart("other", 5), dossier))).isEqualTo(0)
+        fun `counts no part after a missing one`() {
+            cache.recordPrefill("m", listOf(system, document))
+            expectThat(cache.cachedTokens("m", listOf(PromptPart("other", 5), document))).isEqualTo(0)
         }
 
         @Test
-        fun `gives up the least recently used parts, the last ones of a prompt first`() {
-            cache.recordPrefill("m", listOf(system, dossier, own))
+        fun `evicts the least recently used parts, the last ones of a prompt first`() {
+            cache.recordPrefill("m", listOf(system, document, question))
             cache.recordPrefill("m", listOf(system, PromptPart("late", 200)))
-            expectThat(cache.cachedTokens("m", listOf(system, dossier, own))).isEqualTo(700)
+            expectThat(cache.cachedTokens("m", listOf(system, document, question))).isEqualTo(700)
         }
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SessionVersionsTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SessionVersionsTest.kt
@@ -8,14 +8,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 class SessionVersionsTest {
-    private val versions = SessionVersions(gap = 5.seconds)
+    private val versions = SessionVersions(idleTimeout = 5.seconds)
 
     private fun at(millis: Long): Long = millis.milliseconds.inWholeNanoseconds
 
     @Nested
     inner class `a session` {
         @Test
-        fun `keeps its version until the gap after the end of its last run`() {
+        fun `keeps its version until the idle timeout after its latest request`() {
             versions.recordStart("a", "v1", at(0))
             versions.recordEnd("a", at(7_000))
 
@@ -24,7 +24,7 @@
         }
 
         @Test
-        fun `counts while a run of it goes on, however long`() {
+        fun `stays active while a request of it runs, however long`() {
             versions.recordStart("a", "v1", at(0))
             versions.recordStart("a", "v1", at(0))
             versions.recordEnd("a", at(1_000))
@@ -33,7 +33,7 @@
         }
 
         @Test
-        fun `belongs to the version that ran it last`() {
+        fun `keeps the version that ran its latest request`() {
             versions.recordStart("a", "v1", at(0))
             versions.recordEnd("a", at(100))
             versions.recordStart("a", "v2", at(150))
@@ -47,7 +47,7 @@
     @Nested
     inner class `a session that another router runs` {
         @Test
-        fun `keeps its version while the run may go on and for the gap after its end`() {
+        fun `keeps its version while the request may run and for the idle timeout afterwards`() {
             versions.recordRemoteRun("a", "v1", running = true, at(0))
             val whileRunning = listOf(14_900L, 15_000L).map { versions.versionOf("a", at(it)) }
             versions.recordRemoteRun("a", "v1", running = false, at(3_000))
@@ -57,7 +57,7 @@
         }
 
         @Test
-        fun `is current like one of this router`() {
+        fun `is active like a session of this router`() {
             versions.recordRemoteRun("a", "v1", running = true, at(0))
             versions.recordStart("b", "v2", at(0))
             versions.recordStart("c", "v1", at(0))
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudgetTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudgetTest.kt
@@ -24,7 +24,7 @@
         private val budget = SlidingRetryBudget(10.seconds, ratio = 0.5, slack = 2.0)
 
         @Test
-        fun `gives the slack before any request, and a part of each request afterwards`() {
+        fun `grants the slack before any request and a ratio of the requests afterwards`() {
             val before = List(3) { budget.trySpend(at(0)) }
             repeat(4) { budget.recordRequest(at(100)) }
             val after = List(3) { budget.trySpend(at(200)) }
@@ -33,16 +33,16 @@
         }
 
         @Test
-        fun `gives a use only its part, so that the rest is left for others`() {
+        fun `limits a purpose to its share and leaves the rest for others`() {
             repeat(16) { budget.recordRequest(at(0)) }
-            val larger = List(9) { budget.trySpend(at(100), share = 0.8) }
-            val failed = List(3) { budget.trySpend(at(100)) }
+            val escalations = List(9) { budget.trySpend(at(100), share = 0.8) }
+            val retriesOfFailures = List(3) { budget.trySpend(at(100)) }
 
-            expectThat(larger.count { it } to failed).isEqualTo(8 to listOf(true, true, false))
+            expectThat(escalations.count { it } to retriesOfFailures).isEqualTo(8 to listOf(true, true, false))
         }
 
         @Test
-        fun `forgets what is older than its span`() {
+        fun `forgets retries that are older than the window`() {
             repeat(2) { budget.trySpend(at(0)) }
 
             expectThat(listOf(9_400, 10_000).map { budget.available(at(it)) }).isEqualTo(listOf(0.0, 2.0))
@@ -50,15 +50,15 @@
     }
 
     @Nested
-    inner class `over any run of requests and repeats` {
+    inner class `over any sequence of requests and retries` {
         @Test
-        fun `repeats never exceed the part of the requests of the last span and the slack`() {
+        fun `retries never exceed the ratio of the requests in the last window plus the slack`() {
             val events = Arb.list(Arb.pair(Arb.int(0..400), Arb.boolean()), 1..200)
             runBlocking {
                 checkAll(500, events) { steps ->
                     val budget = SlidingRetryBudget(10.seconds, ratio = 0.7, slack = 3.0)
                     val requests = ArrayList<Int>()
-                    val repeats = ArrayList<Int>()
+                    val retries = ArrayList<Int>()
                     var now = 0
                     steps.forEach { (pause, isRequest) ->
                         now += pause
@@ -66,8 +66,8 @@
                             budget.recordRequest(at(now))
                             requests += now
                         } else if (budget.trySpend(at(now))) {
-                            repeats += now
-                            val spent = repeats.count { it > now - 9_500 }
+                            retries += now
+                            val spent = retries.count { it > now - 9_500 }
                             expectThat(
                                 spent.toDouble(),
                             ).isLessThanOrEqualTo(0.7 * requests.count { it > now - 10_000 } + 3)
@@ -79,25 +79,25 @@
     }
 
     @Nested
-    inner class `a clump of requests that need a larger model` {
-        /** One of 35 routers: eight requests a second, then twelve at once that all need another model. */
-        private fun served(spend: (Long) -> Boolean): Int = (1..12).count { spend(at(10_000)) }
+    inner class `a burst of requests that need a larger model` {
+        /** Load of one of 35 routers: 8 requests per second, then 12 at once that all need a second model. */
+        private fun retriesGranted(spend: (Long) -> Boolean): Int = (1..12).count { spend(at(10_000)) }
 
         @Test
-        fun `is served from what calm seconds have earned, where a small store runs dry`() {
+        fun `is served from the budget earned before it, where a small token bucket runs empty`() {
             val window = SlidingRetryBudget(10.seconds, ratio = 0.81, slack = 5.0)
-            val store = RetryBudget(earnedPerSuccess = 0.81, capacity = 5)
+            val bucket = RetryBudget(earnedPerSuccess = 0.81, capacity = 5)
             (0 until 10_000 step 125).forEach {
                 window.recordRequest(at(it))
-                store.recordSuccess()
+                bucket.recordSuccess()
             }
 
             expectThat(
                 listOf(
-                    served { window.trySpend(it, share = 0.8) },
-                    served {
-                        store.available >= 3 &&
-                            store.tryRetry()
+                    retriesGranted { window.trySpend(it, share = 0.8) },
+                    retriesGranted {
+                        bucket.available >= 3 &&
+                            bucket.tryRetry()
                     },
                 ),
             ).isEqualTo(listOf(12, 3))
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/WarmUpRateLimiterTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/WarmUpRateLimiterTest.kt
@@ -7,38 +7,38 @@
 import strikt.assertions.isLessThanOrEqualTo
 
 class WarmUpRateLimiterTest {
-    private val milli = 1_000_000L
-    private val second = 1_000 * milli
+    private val millisecond = 1_000_000L
+    private val second = 1_000 * millisecond
 
     @Nested
     inner class `a cold endpoint` {
         @Test
-        fun `gets no more from all routers together than it bears`() {
+        fun `gets no more requests from all routers together than its limit`() {
             val routers = 5
-            val gates = List(routers) { WarmUpRateLimiter(0).apply { extendTo(10 * second) } }
+            val limiters = List(routers) { WarmUpRateLimiter(0).apply { extendTo(10 * second) } }
             var sent = 0
-            for (now in 0 until 3 * second step milli) {
-                gates.filter { it.admits(now) }.forEach { gate ->
-                    gate.recordSent(now, perSecond = 13.0, routers)
+            for (now in 0 until 3 * second step millisecond) {
+                limiters.filter { it.admits(now) }.forEach { limiter ->
+                    limiter.recordSent(now, perSecond = 13.0, routers)
                     sent++
                 }
             }
-            // One request of each router comes at once; afterwards each keeps to its part.
+            // Each router sends its first request at once and then keeps to its share.
             expectThat(sent).isLessThanOrEqualTo(3 * 13 + routers)
         }
 
         @Test
-        fun `is free again when it is warm`() {
-            val gate = WarmUpRateLimiter(0).apply { extendTo(second) }
-            gate.recordSent(0, perSecond = 0.5, routers = 1)
-            expectThat(listOf(0L, second - 1, second).map(gate::admits)).isEqualTo(listOf(false, false, true))
+        fun `is unlimited once it is warm`() {
+            val limiter = WarmUpRateLimiter(0).apply { extendTo(second) }
+            limiter.recordSent(0, perSecond = 0.5, routers = 1)
+            expectThat(listOf(0L, second - 1, second).map(limiter::admits)).isEqualTo(listOf(false, false, true))
         }
 
         @Test
-        fun `stays cold as long as the latest sign says`() {
-            val gate = WarmUpRateLimiter(0).apply { extendTo(3 * second) }
-            gate.extendTo(second)
-            expectThat(gate.isCold(2 * second)).isEqualTo(true)
+        fun `stays cold until the latest end that was reported`() {
+            val limiter = WarmUpRateLimiter(0).apply { extendTo(3 * second) }
+            limiter.extendTo(second)
+            expectThat(limiter.isCold(2 * second)).isEqualTo(true)
         }
     }
 }
