--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointChooser.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointChooser.kt
@@ -4,39 +4,41 @@
 import org.apache.commons.rng.UniformRandomProvider
 
 /**
- * What matters about a request for the choice of its endpoint.
+ * The properties of a request that determine the choice of its endpoint.
  *
- * @property affinityKey hash of its session or prompt prefix; null when it has neither.
- * @property excluded endpoints that it may not use, for example because an earlier attempt did.
+ * @property affinityKey hash of its session or prompt prefix; null if it has neither.
+ * @property excluded endpoints that it must not use, for example because an earlier attempt used them.
  */
 public data class EndpointRequest(
     public val affinityKey: Long? = null,
     public val excluded: Set<EndpointId> = emptySet(),
 )
 
-/** The result of a choice. */
+/** The result of choosing an endpoint. */
 public sealed interface EndpointChoice {
-    /** A slot was taken at [state]; the caller releases it. */
+    /** A slot was acquired at [state]; the caller must release it. */
     public data class Chosen(
         public val state: EndpointState,
     ) : EndpointChoice
 
-    /** Every endpoint is at its limit or ejected for now. */
+    /** Every endpoint that the request may use is at its limit or ejected. */
     public data object AllBusy : EndpointChoice
 
-    /** No endpoint is left that the request may use. */
+    /** There is no endpoint that the request may use. */
     public data object NoneLeft : EndpointChoice
 }
 
 /**
- * Takes the least loaded of a few random endpoints of the own failure domain, prefers the one that likely holds the
- * prompt's cache as long as its queue isn't longer by more than the cache is worth, and crosses the border of the
- * failure domain only when the own endpoints queue.
+ * Chooses the least loaded of a few randomly sampled endpoints of the router's own failure domain. The endpoint that
+ * likely has the prompt prefix cached is preferred unless its queue is longer by more than the cache saves. Endpoints
+ * of other failure domains are used only when the local ones queue.
  *
  * @property samples endpoints compared for each request.
- * @property affinityBonus queue, in requests per slot, that a warm cache makes up for.
- * @property crossDomainPenalty queue that crossing the border is worth.
- * @property queueingThreshold load from which all slots may be taken: loads are estimates, and requests come in bursts.
+ * @property affinityBonus additional queue, in requests per slot, that a cached prompt prefix makes up for.
+ * @property crossDomainPenalty additional queue, in requests per slot, that a local endpoint may have before a remote
+ *   one is used.
+ * @property queueingThreshold load, in requests per slot, above which requests may queue. It is below 1 because loads
+ *   are estimates and requests arrive in bursts.
  */
 public class EndpointChooser(
     private val samples: Int = DEFAULT_SAMPLES,
@@ -48,37 +50,37 @@
         require(samples >= 1) { "samples must be 1 or more, got $samples" }
     }
 
-    /** Chooses an endpoint of [pool] for [request] and takes a slot there. */
+    /** Chooses an endpoint of [pool] for [request] and acquires a slot there. */
     public fun choose(
         pool: EndpointPool,
         request: EndpointRequest,
         now: Long,
         random: UniformRandomProvider,
     ): EndpointChoice {
-        val best = best(pool, request, now, random)
+        val best = bestSampled(pool, request, now, random)
         if (best != null && best.tryAcquire(now)) return EndpointChoice.Chosen(best)
-        return firstFree(pool, request, now, random)
+        return firstWithFreeSlot(pool, request, now, random)
     }
 
-    private fun best(
+    private fun bestSampled(
         pool: EndpointPool,
         request: EndpointRequest,
         now: Long,
         random: UniformRandomProvider,
     ): EndpointState? {
         val local = leastLoaded(pool.local, pool, request, now, random)
-        val localQueue = local?.let { queue(it, pool, now) } ?: Double.MAX_VALUE
+        val localQueue = local?.let { queueLength(it, pool, now) } ?: Double.MAX_VALUE
         val preferred = request.affinityKey?.let { pool.preferred(it) }
-        if (preferred != null && usable(preferred, request, now)) {
-            if (queue(preferred, pool, now) <= localQueue + affinityBonus) return preferred
+        if (preferred != null && isUsable(preferred, request, now)) {
+            if (queueLength(preferred, pool, now) <= localQueue + affinityBonus) return preferred
         }
         if (localQueue == 0.0) return local
         val remote = leastLoaded(pool.remote, pool, request, now, random) ?: return local
-        return if (queue(remote, pool, now) + crossDomainPenalty < localQueue) remote else local
+        return if (queueLength(remote, pool, now) + crossDomainPenalty < localQueue) remote else local
     }
 
-    /** Load beyond what likely finds a free slot; below that every endpoint starts a request at once. */
-    private fun queue(
+    /** Load above [queueingThreshold]; at a lower load an endpoint starts a request at once. */
+    private fun queueLength(
         state: EndpointState,
         pool: EndpointPool,
         now: Long,
@@ -96,7 +98,7 @@
         repeat(if (candidates.isEmpty()) 0 else samples) {
             val candidate = candidates[random.nextInt(candidates.size)]
             val load = candidate.load(now, pool.averageOtherRequests)
-            if (load < bestLoad && usable(candidate, request, now)) {
+            if (load < bestLoad && isUsable(candidate, request, now)) {
                 best = candidate
                 bestLoad = load
             }
@@ -104,7 +106,7 @@
         return best
     }
 
-    private fun usable(
+    private fun isUsable(
         candidate: EndpointState,
         request: EndpointRequest,
         now: Long,
@@ -113,24 +115,27 @@
             candidate.endpoint.id !in request.excluded &&
             !candidate.health.refuses(now)
 
-    /** Only when the sampled endpoints are all taken: looks at the others, at most [LONGEST_SEARCH] of each side. */
-    private fun firstFree(
+    /**
+     * Fallback if the best sampled endpoint has no free slot: acquires the first free slot at up to
+     * [MAXIMUM_SEARCHED] local and then as many remote endpoints, each list searched from a random position.
+     */
+    private fun firstWithFreeSlot(
         pool: EndpointPool,
         request: EndpointRequest,
         now: Long,
         random: UniformRandomProvider,
     ): EndpointChoice {
-        var allowed = false
+        var anyAllowed = false
         for (candidates in listOf(pool.local, pool.remote)) {
             val start = if (candidates.isEmpty()) 0 else random.nextInt(candidates.size)
-            for (offset in 0 until minOf(candidates.size, LONGEST_SEARCH)) {
+            for (offset in 0 until minOf(candidates.size, MAXIMUM_SEARCHED)) {
                 val candidate = candidates[(start + offset) % candidates.size]
                 if (candidate.endpoint.id in request.excluded) continue
-                allowed = true
+                anyAllowed = true
                 if (candidate.tryAcquire(now)) return EndpointChoice.Chosen(candidate)
             }
         }
-        return if (allowed) EndpointChoice.AllBusy else EndpointChoice.NoneLeft
+        return if (anyAllowed) EndpointChoice.AllBusy else EndpointChoice.NoneLeft
     }
 
     public companion object {
@@ -138,6 +143,6 @@
         public const val DEFAULT_AFFINITY_BONUS: Double = 0.1
         public const val DEFAULT_CROSS_DOMAIN_PENALTY: Double = 0.02
         public const val DEFAULT_QUEUEING_THRESHOLD: Double = 0.85
-        private const val LONGEST_SEARCH = 32
+        private const val MAXIMUM_SEARCHED = 32
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointHealth.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointHealth.kt
@@ -8,8 +8,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Circuit breaker of one endpoint. Consecutive failures eject it for a while, if its [group] allows; then a single
- * request probes it, which restores it or ejects it for twice as long. Safe to use from any thread.
+ * Circuit breaker of one endpoint. Consecutive failures eject the endpoint for a while if its [group] allows that.
+ * Then a single request probes it, whose outcome either restores the endpoint or ejects it for twice as long.
+ * Thread-safe.
  */
 public class EndpointHealth(
     private val group: EjectionGroup,
@@ -20,12 +21,12 @@
 
     private data class Ejected(
         val until: Long,
-        val times: Int,
+        val ejections: Int,
     ) : State
 
     private data class Probing(
-        val since: Long,
-        val times: Int,
+        val startedAt: Long,
+        val ejections: Int,
     ) : State
 
     private val state = AtomicReference<State>(Closed)
@@ -35,55 +36,55 @@
         group.add(this)
     }
 
-    /** Whether ordinary requests may not use the endpoint. */
+    /** Whether the circuit breaker is open or half-open, so that only a probe may use the endpoint. */
     public val isEjected: Boolean get() = state.get() !is Closed
 
-    /** Takes the endpoint for one request [now]: always when it is healthy, else only as the single probe. */
+    /** Claims the endpoint for one request [now]: always succeeds if it is healthy, else only for the single probe. */
     public fun tryUse(now: Long): Boolean =
-        when (val held = state.get()) {
+        when (val current = state.get()) {
             is Closed -> {
                 true
             }
 
             is Ejected -> {
-                now >= held.until && state.compareAndSet(held, Probing(now, held.times))
+                now >= current.until && state.compareAndSet(current, Probing(now, current.ejections))
             }
 
             is Probing -> {
-                now - held.since >= PROBE_PATIENCE_NANOS &&
-                    state.compareAndSet(held, Probing(now, held.times))
+                now - current.startedAt >= PROBE_TIMEOUT_NANOS &&
+                    state.compareAndSet(current, Probing(now, current.ejections))
             }
         }
 
-    /** Whether [tryUse] would fail now; for looking without taking. */
+    /** Whether [tryUse] would return false; doesn't claim the probe. */
     public fun refuses(now: Long): Boolean =
-        when (val held = state.get()) {
+        when (val current = state.get()) {
             is Closed -> false
-            is Ejected -> now < held.until
-            is Probing -> now - held.since < PROBE_PATIENCE_NANOS
+            is Ejected -> now < current.until
+            is Probing -> now - current.startedAt < PROBE_TIMEOUT_NANOS
         }
 
-    /** Notes a good answer; true when it restored the endpoint. */
+    /** Records a success; returns true if it restored the endpoint. */
     public fun recordSuccess(): Boolean {
         failures.set(0)
-        val held = state.get()
-        return held is Probing && state.compareAndSet(held, Closed)
+        val current = state.get()
+        return current is Probing && state.compareAndSet(current, Closed)
     }
 
-    /** Notes a failure; true when it ejected the endpoint. */
+    /** Records a failure; returns true if it ejected the endpoint. */
     public fun recordFailure(
         now: Long,
         random: UniformRandomProvider,
     ): Boolean {
         val count = failures.incrementAndGet()
-        return when (val held = state.get()) {
-            is Closed -> count >= CONSECUTIVE_FAILURES && group.tryEject(this) { eject(held, now, 1, random) }
-            is Probing -> eject(held, now, held.times + 1, random)
+        return when (val current = state.get()) {
+            is Closed -> count >= CONSECUTIVE_FAILURES && group.tryEject(this) { eject(current, now, 1, random) }
+            is Probing -> eject(current, now, current.ejections + 1, random)
             is Ejected -> false
         }
     }
 
-    /** Notes that no connection to the endpoint could be opened, which is as good as several failures. */
+    /** Records a failure to connect, which weighs as much as [CONSECUTIVE_FAILURES] failures; true if it ejected. */
     public fun recordUnreachable(
         now: Long,
         random: UniformRandomProvider,
@@ -92,19 +93,19 @@
         return recordFailure(now, random)
     }
 
-    /** Stops counting the endpoint in its group. */
+    /** Removes the endpoint from its group. */
     public fun retire(): Unit = group.remove(this)
 
     private fun eject(
-        held: State,
+        current: State,
         now: Long,
-        times: Int,
+        ejections: Int,
         random: UniformRandomProvider,
     ): Boolean {
-        val ceiling = minOf(FIRST_EJECTION * (1 shl minOf(times - 1, MAXIMUM_DOUBLINGS)), LONGEST_EJECTION)
-        val jittered = ceiling / 2 + random.nextLong(ceiling.inWholeNanoseconds / 2 + 1).nanoseconds
+        val duration = minOf(FIRST_EJECTION * (1 shl minOf(ejections - 1, MAXIMUM_DOUBLINGS)), LONGEST_EJECTION)
+        val jitteredDuration = duration / 2 + random.nextLong(duration.inWholeNanoseconds / 2 + 1).nanoseconds
         failures.set(0)
-        return state.compareAndSet(held, Ejected(now + jittered.inWholeNanoseconds, times))
+        return state.compareAndSet(current, Ejected(now + jitteredDuration.inWholeNanoseconds, ejections))
     }
 
     private companion object {
@@ -112,6 +113,8 @@
         const val MAXIMUM_DOUBLINGS = 8
         val FIRST_EJECTION: Duration = 2.seconds
         val LONGEST_EJECTION: Duration = 60.seconds
-        val PROBE_PATIENCE_NANOS: Long = 10.seconds.inWholeNanoseconds
+
+        /** Time after which another request may probe, if the outcome of the previous probe is unknown. */
+        val PROBE_TIMEOUT_NANOS: Long = 10.seconds.inWholeNanoseconds
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiter.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiter.kt
@@ -6,92 +6,101 @@
 import kotlin.time.Duration.Companion.nanoseconds
 
 /**
- * Sets the limit of one endpoint: this router's part of the fleet's ramp while the endpoint is cold, and an adaptive
- * limit thereafter. Belongs to one duty thread.
+ * Sets this router's concurrency limit at one endpoint: a share of the fleet-wide slow start while the endpoint is
+ * cold, and an adaptive limit once it is warm. Confined to one thread.
  */
 public class EndpointLimiter(
     public val state: EndpointState,
     self: RouterId,
     private val slowStart: SlowStart = SlowStart(),
 ) {
-    private val adaptive = AdaptiveLimit(state.slots * WARM_QUEUE_FACTOR)
+    private val adaptive = AdaptiveLimit(state.slots * REQUESTS_PER_SLOT)
     private val latency = LatencyTracker()
-    private val settled = SettledShare(state.endpoint.id.value, self)
+    private val coldShare = SettledShare(state.endpoint.id.value, self)
     private var startedAt: Long? = null
-    private var suspectedAt: Long? = null
-    private var returnedAt: Long? = null
-    private var reportless = false
+    private var connectionsLostAt: Long? = null
+    private var domainReturnedAt: Long? = null
+    private var offersNoReports = false
 
-    /** Takes a load report that describes the endpoint at [takenAt]; true when it turned cold by it. */
+    /**
+     * Takes a load report that describes the endpoint at [takenAt]; returns true if it shows that the endpoint
+     * restarted.
+     */
     public fun acceptReport(
         report: LoadReport,
         takenAt: Long,
     ): Boolean {
         val previous = state.report
         if (!state.accept(report, takenAt)) return false
-        reportless = false
-        // A report from before the connections broke says nothing about what came after.
-        if (takenAt >= (suspectedAt ?: takenAt)) suspectedAt = null
-        adaptive.setMaximum(state.slots * WARM_QUEUE_FACTOR)
+        offersNoReports = false
+        // A report from before the connections broke doesn't rule out a restart since then.
+        if (takenAt >= (connectionsLostAt ?: takenAt)) connectionsLostAt = null
+        adaptive.setMaximum(state.slots * REQUESTS_PER_SLOT)
         val restarted = previous == null || previous.startId != report.startId
         if (!restarted) return false
         startedAt = takenAt - (report.uptime?.inWholeNanoseconds ?: 0)
         return previous != null
     }
 
-    /** Notes that the endpoint answers but reports no load; it is then held to the adaptive limit alone. */
+    /** Records that the endpoint answers but offers no load reports; the adaptive limit alone then applies. */
     public fun recordNoLoadReport() {
-        if (state.report == null) reportless = true
+        if (state.report == null) offersNoReports = true
     }
 
-    /** Notes a good answer whose first token took [firstToken]; true when latency shows that the endpoint is cold. */
+    /**
+     * Records a success with time to first token [firstToken]; returns true if latency shows that the endpoint turned
+     * cold.
+     */
     public fun recordSuccess(
         firstToken: Duration,
         now: Long,
     ): Boolean {
         adaptive.recordSuccess()
-        val collapsed = latency.record(firstToken) && !state.isCold && !queueing()
-        if (collapsed) {
+        val latencyCollapsed = latency.record(firstToken) && !state.isCold && !hasQueue()
+        if (latencyCollapsed) {
             startedAt = now
             state.isCold = true
         }
-        return collapsed
+        return latencyCollapsed
     }
 
-    /** Notes that the endpoint said it is overloaded. */
+    /** Records that the endpoint reported overload. */
     public fun recordOverload(now: Long): Unit = adaptive.recordOverload(now)
 
-    /** Notes that connections to the endpoint broke: until a report says otherwise it counts as restarted. */
+    /** Records that connections to the endpoint broke. It counts as restarted until a newer report shows otherwise. */
     public fun recordConnectionLost(now: Long) {
-        if (!reportless) suspectedAt = now
+        if (!offersNoReports) connectionsLostAt = now
     }
 
-    /** Notes that the endpoint's failure domain came back in service at [since]; it is ramped whatever it reports. */
+    /**
+     * Records that the endpoint's failure domain returned to service at [since]: slow start applies, whatever it
+     * reports.
+     */
     public fun recordDomainReturned(since: Long) {
-        returnedAt = since
+        domainReturnedAt = since
     }
 
-    /** Sets the limit for [now]; [sharers] are the routers that may send to the endpoint while it is cold. */
+    /** Updates the limit at time [now]. [sharers] are the routers that may use the endpoint while it is cold. */
     public fun update(
         now: Long,
         sharers: List<RouterId>,
     ) {
-        val fleetLimit = coldLimit(now)
+        val fleetLimit = slowStartLimit(now)
         state.isCold = fleetLimit != null
-        state.limit = if (fleetLimit == null) adaptive.limit else settled.of(fleetLimit, sharers, now)
+        state.limit = if (fleetLimit == null) adaptive.limit else coldShare.of(fleetLimit, sharers, now)
     }
 
-    private fun coldLimit(now: Long): Int? {
-        if (reportless && returnedAt == null) return null
-        if (!reportless && startedAt == null) return slowStart.initialLimit
-        val start = listOfNotNull(startedAt, suspectedAt, returnedAt).max()
+    private fun slowStartLimit(now: Long): Int? {
+        if (offersNoReports && domainReturnedAt == null) return null
+        if (!offersNoReports && startedAt == null) return slowStart.initialLimit
+        val start = listOfNotNull(startedAt, connectionsLostAt, domainReturnedAt).max()
         return slowStart.fleetLimit(state.slots, (now - start).nanoseconds)
     }
 
-    private fun queueing(): Boolean = (state.report?.waiting ?: 0) > 0
+    private fun hasQueue(): Boolean = (state.report?.waiting ?: 0) > 0
 
     private companion object {
-        /** Own requests at a warm endpoint, as a multiple of its slots, so that its batch never runs dry. */
-        const val WARM_QUEUE_FACTOR = 2
+        /** Maximum of own requests per slot of a warm endpoint; above 1 so that its batch never runs empty. */
+        const val REQUESTS_PER_SLOT = 2
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointState.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointState.kt
@@ -8,8 +8,9 @@
 import kotlin.time.DurationUnit
 
 /**
- * What one router knows of one endpoint: its own requests in flight exactly, the newest load report, health and the
- * limit in force. Any thread may read, [tryAcquire] and [release]; a [limit] and reports are set by one duty thread.
+ * One router's state of one endpoint: the exact number of the router's own requests in flight, the newest load
+ * report, health, and the concurrency limit. Any thread may read, [tryAcquire] and [release]. A single thread sets
+ * the [limit] and accepts load reports.
  */
 public class EndpointState(
     public val endpoint: Endpoint,
@@ -20,31 +21,31 @@
     /** Circuit breaker of the endpoint. */
     public val health: EndpointHealth = EndpointHealth(group)
 
-    /** Own requests that may be in flight at once. */
+    /** Maximum of this router's requests in flight. */
     @Volatile
     public var limit: Int = 0
         internal set
 
-    /** Whether the endpoint is being ramped. */
+    /** Whether the endpoint is in slow start. */
     @Volatile
     public var isCold: Boolean = true
         internal set
 
     @Volatile
-    private var received: ReceivedReport? = null
+    private var latestReport: ReceivedReport? = null
 
-    /** Own requests in flight. */
+    /** This router's requests in flight. */
     public val ownInFlight: Int get() = inFlight.get()
 
-    /** Slots by the newest report, or by the catalogue. */
-    public val slots: Int get() = maxOf(1, received?.report?.slots ?: endpoint.slots)
+    /** Slots according to the newest load report, or to the catalogue without a report. */
+    public val slots: Int get() = maxOf(1, latestReport?.report?.slots ?: endpoint.slots)
 
-    internal val report: LoadReport? get() = received?.report
+    internal val report: LoadReport? get() = latestReport?.report
 
-    /** Requests of other routers by the newest report; null without one. */
-    internal val othersReported: Int? get() = received?.others
+    /** Requests of other routers according to the newest load report; null without a report. */
+    internal val othersReported: Int? get() = latestReport?.others
 
-    /** Takes a slot and, if the endpoint is ejected, its probe; false when there is neither. */
+    /** Acquires a slot and, if the endpoint is ejected, its probe; false if either is unavailable. */
     public fun tryAcquire(now: Long): Boolean {
         if (health.refuses(now)) return false
         while (true) {
@@ -57,45 +58,46 @@
         return false
     }
 
-    /** Gives a slot back. */
+    /** Releases a slot. */
     public fun release() {
         val left = inFlight.decrementAndGet()
         check(left >= 0) { "released more than acquired at ${endpoint.id}: $left" }
     }
 
     /**
-     * Estimated requests per slot at the endpoint. Own requests count in full; those of other routers by the report,
-     * which fades towards [averageOtherRequests], the pool's average, as it ages, so that a stale report of an idle endpoint
-     * doesn't draw every router at once.
+     * Estimated requests per slot at the endpoint. The router's own requests count exactly. Those of other routers
+     * come from the load report, whose weight decays with its age in favour of the pool's [averageOtherRequests];
+     * otherwise a stale report of an idle endpoint would attract the requests of every router at once.
      */
     public fun load(
         now: Long,
         averageOtherRequests: Double,
-    ): Double = (inFlight.get() + others(now, averageOtherRequests)) / slots
+    ): Double = (inFlight.get() + otherRequests(now, averageOtherRequests)) / slots
 
-    private fun others(
+    private fun otherRequests(
         now: Long,
         averageOtherRequests: Double,
     ): Double {
-        val held = received ?: return averageOtherRequests
-        val age = maxOf(0, now - held.takenAt).toDouble() / FADING_NANOS
-        val weight = exp(-age)
+        val held = latestReport ?: return averageOtherRequests
+        val ageInTimeConstants = maxOf(0, now - held.takenAt).toDouble() / REPORT_DECAY_NANOS
+        val weight = exp(-ageInTimeConstants)
         return weight * held.others + (1 - weight) * averageOtherRequests
     }
 
-    /** Takes a report that describes the endpoint at [takenAt]; older ones than held are ignored. */
+    /** Stores a report that describes the endpoint at [takenAt]; returns false if the stored one is at least as new. */
     internal fun accept(
         report: LoadReport,
         takenAt: Long,
     ): Boolean {
-        val held = received
+        val held = latestReport
         if (held != null && held.takenAt >= takenAt) return false
-        received = ReceivedReport(report, takenAt, inFlight.get())
+        latestReport = ReceivedReport(report, takenAt, inFlight.get())
         return true
     }
 
     private companion object {
-        val FADING: Duration = 2.seconds
-        val FADING_NANOS: Double = FADING.toDouble(DurationUnit.NANOSECONDS)
+        /** Time constant with which the weight of a load report decays. */
+        val REPORT_DECAY: Duration = 2.seconds
+        val REPORT_DECAY_NANOS: Double = REPORT_DECAY.toDouble(DurationUnit.NANOSECONDS)
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointSubsetting.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/EndpointSubsetting.kt
@@ -6,10 +6,10 @@
 import dev.almondhaven.model.RouterId
 
 /**
- * Which endpoints a router uses and, the other way round, which routers share an endpoint. A small deployment uses
- * everything. Above [localSize] endpoints of its own failure domain and [remoteSize] of the others a router uses those
- * that rendezvous hashing gives it, so that connections and load reports don't grow with the product of routers and
- * endpoints.
+ * Deterministic subsetting: which endpoints a router uses and, conversely, which routers share an endpoint. In a
+ * small deployment every router uses every endpoint. If there are more than [localSize] endpoints in its own failure
+ * domain, or more than [remoteSize] in the others, a router uses a subset chosen by rendezvous hashing. Otherwise
+ * connections and load reports would grow with the product of routers and endpoints.
  */
 public class EndpointSubsetting(
     private val localSize: Int = DEFAULT_LOCAL_SIZE,
@@ -20,45 +20,49 @@
         require(remoteSize >= 0) { "remoteSize must not be negative, got $remoteSize" }
     }
 
-    /** The part of [endpoints], all of its own failure domain, that [router] uses. */
+    /** The subset of [endpoints], all in the failure domain of [router], that it uses. */
     public fun local(
         router: RouterId,
         endpoints: List<Endpoint>,
-    ): List<Endpoint> = part(router, endpoints, localSize)
+    ): List<Endpoint> = subset(router, endpoints, localSize)
 
-    /** The part of [endpoints], all of other failure domains, that [router] uses. */
+    /** The subset of [endpoints], all in other failure domains, that [router] uses. */
     public fun remote(
         router: RouterId,
         endpoints: List<Endpoint>,
-    ): List<Endpoint> = part(router, endpoints, remoteSize)
+    ): List<Endpoint> = subset(router, endpoints, remoteSize)
 
     /**
-     * The routers that may send to each of [endpoints] while it is cold: those of its own failure domain that use it,
-     * or every router where none of them is left.
+     * The routers that may send to each of [endpoints] while it is cold: those in its failure domain that use it. If no
+     * router there uses it, all routers of the domain share it; if the domain has no routers, all [members] do.
      */
     public fun sharers(
         endpoints: List<Endpoint>,
         members: List<Member>,
     ): List<EndpointSharers> {
-        val everyone = members.map { it.id }
-        return endpoints.groupBy { it.failureDomain }.flatMap { (domain, own) ->
-            val neighbours = members.filter { it.failureDomain == domain }.map { it.id }
-            sharersIn(own, neighbours, everyone)
+        val allRouters = members.map { it.id }
+        return endpoints.groupBy { it.failureDomain }.flatMap { (domain, domainEndpoints) ->
+            val domainRouters = members.filter { it.failureDomain == domain }.map { it.id }
+            sharersInDomain(domainEndpoints, domainRouters, allRouters)
         }
     }
 
-    private fun sharersIn(
+    private fun sharersInDomain(
         endpoints: List<Endpoint>,
-        neighbours: List<RouterId>,
-        everyone: List<RouterId>,
+        domainRouters: List<RouterId>,
+        allRouters: List<RouterId>,
     ): List<EndpointSharers> {
-        if (endpoints.size <= localSize) return endpoints.map { EndpointSharers(it, neighbours.ifEmpty { everyone }) }
+        if (endpoints.size <= localSize) {
+            return endpoints.map { EndpointSharers(it, domainRouters.ifEmpty { allRouters }) }
+        }
         val users = endpoints.associate { it.id to ArrayList<RouterId>() }
-        neighbours.forEach { router -> local(router, endpoints).forEach { users.getValue(it.id) += router } }
-        return endpoints.map { EndpointSharers(it, users.getValue(it.id).ifEmpty { neighbours.ifEmpty { everyone } }) }
+        domainRouters.forEach { router -> local(router, endpoints).forEach { users.getValue(it.id) += router } }
+        return endpoints.map {
+            EndpointSharers(it, users.getValue(it.id).ifEmpty { domainRouters.ifEmpty { allRouters } })
+        }
     }
 
-    private fun part(
+    private fun subset(
         router: RouterId,
         endpoints: List<Endpoint>,
         size: Int,
@@ -73,7 +77,7 @@
     }
 }
 
-/** The routers that share [endpoint]'s ramp. */
+/** The routers that share the slow-start limit of [endpoint]. */
 public data class EndpointSharers(
     public val endpoint: Endpoint,
     public val routers: List<RouterId>,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/LoadReport.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/LoadReport.kt
@@ -3,13 +3,13 @@
 import kotlin.time.Duration
 
 /**
- * What an endpoint says about itself.
+ * An endpoint's report of its own load.
  *
- * @property startId changes whenever the endpoint's process starts.
- * @property running requests that run on it.
- * @property waiting requests that wait on it.
- * @property slots requests that it runs at once when warm.
- * @property uptime time since its start; null when it doesn't say.
+ * @property startId identifies the start of the endpoint's process; differs after each restart.
+ * @property running requests that the endpoint is running.
+ * @property waiting requests in the endpoint's queue.
+ * @property slots requests that the endpoint can run concurrently when warm.
+ * @property uptime time since the process started; null if the endpoint doesn't report it.
  */
 public data class LoadReport(
     public val startId: String,
@@ -20,15 +20,15 @@
 )
 
 /**
- * A report together with what this router had in flight when it was made.
+ * A load report together with the number of requests that this router had in flight when it accepted the report.
  *
- * @property takenAt monotonic nanoseconds, at the latest, of the moment that the report describes.
+ * @property takenAt monotonic time in nanoseconds, no later than the moment that the report describes.
  */
 internal data class ReceivedReport(
     val report: LoadReport,
     val takenAt: Long,
     val ownInFlight: Int,
 ) {
-    /** Requests of other routers at that moment. */
+    /** Requests in the report that belong to other routers. */
     val others: Int get() = maxOf(0, report.running + report.waiting - ownInFlight)
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/SlowStart.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/endpoint/SlowStart.kt
@@ -4,7 +4,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What the whole fleet may have in flight at an endpoint that has just started: [initialLimit], doubled every [doublingInterval].
+ * Slow start of an endpoint after its process started: the requests that all routers together may have in flight there
+ * begin at [initialLimit] and double every [doublingInterval].
  */
 public data class SlowStart(
     public val initialLimit: Int = DEFAULT_INITIAL_LIMIT,
@@ -15,7 +16,7 @@
         require(doublingInterval.isPositive()) { "doublingInterval must be positive, got $doublingInterval" }
     }
 
-    /** The fleet's limit [age] after the start; null once it has reached [slots], when the endpoint is warm. */
+    /** The fleet-wide limit at [age] after the start; null once it has reached [slots] and the endpoint is warm. */
     public fun fleetLimit(
         slots: Int,
         age: Duration,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PrefillSpeed.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/PrefillSpeed.kt
@@ -24,9 +24,7 @@
         val sample = millis / weightedTokens(tokens)
         val estimate = millisPerToken[model]
         millisPerToken[model] =
-            if (estimate ==
-                null
-            ) {
+            if (estimate == null) {
                 minOf(sample, DEFAULT_MILLIS_PER_TOKEN)
             } else {
                 estimate + (sample - estimate) * if (sample < estimate) DECREASE_WEIGHT else INCREASE_WEIGHT
--- a/decision/src/test/kotlin/dev/almondhaven/decision/endpoint/EndpointHealthTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/endpoint/EndpointHealthTest.kt
@@ -19,7 +19,7 @@
 
 class EndpointHealthTest {
     private val random = RandomSource.SPLIT_MIX_64.create(1L)
-    private val later = 2.seconds.inWholeNanoseconds
+    private val afterEjection = 2.seconds.inWholeNanoseconds
 
     private fun group(size: Int): List<EndpointHealth> =
         EjectionGroup().let { group ->
@@ -33,37 +33,37 @@
     @Nested
     inner class `an endpoint that fails repeatedly` {
         @Test
-        fun `is ejected, probed by one request and restored`() {
+        fun `is ejected, probed by a single request and restored`() {
             val endpoint = group(3).first()
             val ejected = endpoint.failThrice()
-            val during = endpoint.tryUse(1)
-            val probes = List(2) { endpoint.tryUse(later) }
+            val usedWhileEjected = endpoint.tryUse(1)
+            val probes = List(2) { endpoint.tryUse(afterEjection) }
             val restored = endpoint.recordSuccess()
 
-            expectThat(listOf(ejected, during) + probes + listOf(restored, endpoint.tryUse(later)))
+            expectThat(listOf(ejected, usedWhileEjected) + probes + listOf(restored, endpoint.tryUse(afterEjection)))
                 .containsExactly(true, false, true, false, true, true)
         }
 
         @Test
-        fun `stays out for longer when the probe fails`() {
+        fun `stays ejected for longer if the probe fails`() {
             val endpoint = group(3).first()
             endpoint.failThrice()
-            endpoint.tryUse(later)
-            endpoint.recordFailure(later, random)
+            endpoint.tryUse(afterEjection)
+            endpoint.recordFailure(afterEjection, random)
 
-            expectThat(endpoint.refuses(later + 1.seconds.inWholeNanoseconds)).isTrue()
+            expectThat(endpoint.refuses(afterEjection + 1.seconds.inWholeNanoseconds)).isTrue()
         }
 
         @Test
-        fun `is kept when it is the last one`() {
+        fun `is not ejected if it is the only one`() {
             expectThat(group(1).first().failThrice()).isFalse()
         }
     }
 
     @Nested
-    inner class `a pool` {
+    inner class `an ejection group` {
         @Test
-        fun `keeps three in ten endpoints whatever fails`() {
+        fun `never ejects more than seven in ten endpoints`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = 49), Arb.int(1..40), Arb.list(Arb.int(0..39), 0..400)) { size, failing ->
                     val members = group(size)
--- a/decision/src/test/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiterTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/endpoint/EndpointLimiterTest.kt
@@ -18,7 +18,7 @@
 
 class EndpointLimiterTest {
     private val self = RouterId("router")
-    private val alone = listOf(self)
+    private val onlySelf = listOf(self)
     private val state =
         EndpointState(Endpoint(EndpointId("engine"), FailureDomainId("west"), "127.0.0.1:1"), EjectionGroup())
     private val limiter = EndpointLimiter(state, self)
@@ -30,7 +30,7 @@
     ) = LoadReport(startId, running, 0, slots = 16, uptime)
 
     private fun limitAt(time: Duration): Int {
-        limiter.update(time.inWholeNanoseconds, alone)
+        limiter.update(time.inWholeNanoseconds, onlySelf)
         return state.limit
     }
 
@@ -42,19 +42,19 @@
     @Nested
     inner class `an endpoint` {
         @Test
-        fun `that just started is doubled from two to its slots`() {
+        fun `that just started has a limit that doubles from two up to its slots`() {
             reportAt(0.seconds, report("a", uptime = 0.seconds))
 
             expectThat(listOf(0, 3, 6, 9).map { limitAt(it.seconds) }).containsExactly(2, 4, 8, 32)
         }
 
         @Test
-        fun `that nothing is known of counts as cold`() {
+        fun `that has not reported yet counts as cold`() {
             expectThat(limitAt(100.seconds)).isEqualTo(2)
         }
 
         @Test
-        fun `that has run for long is warm at once`() {
+        fun `that has run for long is warm from its first report`() {
             reportAt(0.seconds, report("a", uptime = 60.seconds))
             limitAt(0.seconds)
 
@@ -62,7 +62,7 @@
         }
 
         @Test
-        fun `that changed its start id is ramped again`() {
+        fun `that changed its start id goes through slow start again`() {
             reportAt(0.seconds, report("a", uptime = 60.seconds))
 
             expectThat(reportAt(1.seconds, report("b", uptime = 200.milliseconds))).isTrue()
@@ -70,17 +70,17 @@
         }
 
         @Test
-        fun `whose connections broke is held back until a report clears it`() {
+        fun `whose connections broke is limited until a newer report shows no restart`() {
             reportAt(0.seconds, report("a", uptime = 60.seconds))
             limiter.recordConnectionLost(1.seconds.inWholeNanoseconds)
-            val suspected = limitAt(1.seconds)
+            val whileSuspected = limitAt(1.seconds)
             reportAt(2.seconds, report("a", uptime = 62.seconds))
 
-            expectThat(listOf(suspected, limitAt(2.seconds))).containsExactly(2, 32)
+            expectThat(listOf(whileSuspected, limitAt(2.seconds))).containsExactly(2, 32)
         }
 
         @Test
-        fun `stays held back when the report is older than the break`() {
+        fun `stays limited if the report is older than the broken connections`() {
             reportAt(0.seconds, report("a", uptime = 60.seconds))
             limiter.recordConnectionLost(2.seconds.inWholeNanoseconds)
             reportAt(1.seconds, report("a", uptime = 61.seconds))
@@ -89,18 +89,18 @@
         }
 
         @Test
-        fun `whose latency collapses is ramped again`() {
+        fun `whose latency collapses goes through slow start again`() {
             reportAt(0.seconds, report("a", uptime = 60.seconds))
             limitAt(0.seconds)
             repeat(30) { limiter.recordSuccess(50.milliseconds, now = 0) }
-            val found = (1..20).count { limiter.recordSuccess(2.seconds, 1.seconds.inWholeNanoseconds) }
+            val collapses = (1..20).count { limiter.recordSuccess(2.seconds, 1.seconds.inWholeNanoseconds) }
 
-            expectThat(found).isEqualTo(1)
+            expectThat(collapses).isEqualTo(1)
             expectThat(limitAt(1.seconds)).isEqualTo(2)
         }
 
         @Test
-        fun `that says it is overloaded gets less`() {
+        fun `that reports overload gets a lower limit`() {
             reportAt(0.seconds, report("a", uptime = 60.seconds))
             limiter.recordOverload(now = 0)
 
@@ -111,7 +111,7 @@
     @Nested
     inner class `a load report` {
         @Test
-        fun `fades towards the pool's average`() {
+        fun `decays towards the average of the pool`() {
             reportAt(0.seconds, report("a", uptime = 60.seconds, running = 0))
             val fresh = state.load(now = 0, averageOtherRequests = 8.0)
             val stale = state.load(20.seconds.inWholeNanoseconds, averageOtherRequests = 8.0)
@@ -120,7 +120,7 @@
         }
 
         @Test
-        fun `that is older than the one held is ignored`() {
+        fun `that is older than the stored one is ignored`() {
             reportAt(2.seconds, report("b", uptime = 60.seconds))
 
             expectThat(reportAt(1.seconds, report("a", uptime = 0.seconds))).isFalse()
