--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/ConfidenceBand.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/ConfidenceBand.kt
@@ -1,24 +1,24 @@
 package dev.almondhaven.decision.choice
 
-/** How sure an engine was of its own answer, from its finish reason and its mean log-probability per token. */
+/** A model's confidence in its own answer, derived from the finish reason and the mean log-probability per token. */
 public enum class ConfidenceBand {
-    /** Cut off at the token limit, or empty. */
+    /** The answer was cut off at the token limit, or is empty. */
     INCOMPLETE,
     LOW,
 
-    /** Also an answer that carries no log-probabilities. */
+    /** Medium confidence, or an answer without log-probabilities. */
     MEDIUM,
     HIGH,
     ;
 
     public companion object {
-        private const val LOW_BELOW = -0.7
-        private const val HIGH_FROM = -0.25
+        private const val LOW_UPPER_BOUND = -0.7
+        private const val HIGH_LOWER_BOUND = -0.25
 
-        /** Every band, lowest first; a list that is allocated once. */
+        /** All bands, lowest first. Unlike `values()`, the list is allocated only once. */
         public val ALL: List<ConfidenceBand> = entries.toList()
 
-        /** The band of a [complete] answer with this [meanLogProbability], null when the engine sent none. */
+        /** The band of an answer; [meanLogProbability] is null if the engine sent no log-probabilities. */
         public fun of(
             complete: Boolean,
             meanLogProbability: Double?,
@@ -26,8 +26,8 @@
             when {
                 !complete -> INCOMPLETE
                 meanLogProbability == null -> MEDIUM
-                meanLogProbability < LOW_BELOW -> LOW
-                meanLogProbability >= HIGH_FROM -> HIGH
+                meanLogProbability < LOW_UPPER_BOUND -> LOW
+                meanLogProbability >= HIGH_LOWER_BOUND -> HIGH
                 else -> MEDIUM
             }
     }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/EvidencePool.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/EvidencePool.kt
@@ -7,9 +7,10 @@
 import java.util.TreeMap
 
 /**
- * What a tally is about. A version that a note defines anew starts with new evidence.
+ * The subject of a tally: one version's answers in one task class. A version that a configuration note redefines starts
+ * without evidence.
  *
- * @property definedIn generation that introduced the version's current definition.
+ * @property definedIn configuration generation that introduced the version's current definition.
  */
 public data class EvidenceSubject(
     public val version: ModelVersionId,
@@ -17,7 +18,7 @@
     public val taskClass: TaskClass,
 )
 
-/** One router's tally of one subject in one time bucket: the unit that routers exchange. */
+/** Key of one router's tally of one subject in one time bucket, the unit that routers exchange by gossip. */
 public data class EvidenceCell(
     public val origin: RouterId,
     public val subject: EvidenceSubject,
@@ -25,33 +26,34 @@
 )
 
 /**
- * Evidence of all routers. Recent buckets are kept per router, so that merging is commutative, associative and
- * idempotent; a bucket that is older than [OPEN_BUCKETS] is sealed: only the sum over routers stays, and late readings
- * of it are dropped, so that memory doesn't grow with the fleet. Not safe for use by several threads.
+ * Evidence about model versions from all routers, replicated by gossip. In recent time buckets each router has its
+ * own tally, which makes merging commutative, associative and idempotent. A bucket older than [OPEN_BUCKETS] buckets
+ * is sealed: only the sum over all routers is kept and late tallies for it are dropped, so that memory doesn't grow
+ * with the fleet. Not thread-safe.
  */
 public class EvidencePool(
     private val self: RouterId,
 ) {
-    private val open = HashMap<EvidenceCell, Tally>()
-    private val fleet = HashMap<EvidenceSubject, TreeMap<Long, Tally>>()
+    private val openCells = HashMap<EvidenceCell, Tally>()
+    private val fleetTallies = HashMap<EvidenceSubject, TreeMap<Long, Tally>>()
     private val cumulativeTallies = HashMap<EvidenceSubject, Tally>()
     private val ownCumulativeTallies = HashMap<EvidenceSubject, Tally>()
     private val pendingGossip = LinkedHashMap<EvidenceCell, Int>()
     private var firstOpenBucket = 0L
 
-    /** Open cells; what merging works on. */
-    public val cells: Map<EvidenceCell, Tally> get() = open
+    /** Tallies of the buckets that are not yet sealed; only these can be merged. */
+    public val cells: Map<EvidenceCell, Tally> get() = openCells
 
-    /** The fleet's evidence; it changes along with the pool. */
-    public val totals: EvidenceTotals = EvidenceTotals(fleet)
+    /** Evidence summed over all routers; a live view of the pool. */
+    public val totals: EvidenceTotals = EvidenceTotals(fleetTallies)
 
-    /** Everything that has come in by subject, whatever its bucket. */
+    /** Cumulative tallies by subject of all evidence received, regardless of its bucket. */
     public val cumulative: Map<EvidenceSubject, Tally> get() = cumulativeTallies
 
-    /** What this router has counted itself by subject, whatever its bucket. */
+    /** Cumulative tallies by subject of this router's own observations, regardless of their bucket. */
     public val ownCumulative: Map<EvidenceSubject, Tally> get() = ownCumulativeTallies
 
-    /** Changes this router's own tally of [subject] in the bucket of [epochMillis]. */
+    /** Applies [change] to this router's own tally of [subject] in the bucket of [epochMillis]. */
     public fun record(
         subject: EvidenceSubject,
         epochMillis: Long,
@@ -59,93 +61,96 @@
     ) {
         val bucket = maxOf(bucketOf(epochMillis), firstOpenBucket)
         val cell = EvidenceCell(self, subject, bucket)
-        replace(cell, change(open[cell] ?: Tally.EMPTY))
+        replace(cell, change(openCells[cell] ?: Tally.EMPTY))
     }
 
-    /** Takes another reading of [cell]; returns whether it held anything new. */
+    /** Merges a received [tally] of [cell]; returns whether the pool changed. */
     public fun merge(
         cell: EvidenceCell,
         tally: Tally,
     ): Boolean {
         if (cell.bucket < firstOpenBucket) return false
-        val held = open[cell]
+        val held = openCells[cell]
         if (held != null && held.covers(tally)) return false
-        if (held == null && open.size >= MAXIMUM_OPEN_CELLS) return false
+        if (held == null && openCells.size >= MAXIMUM_OPEN_CELLS) return false
         replace(cell, held?.merge(tally) ?: tally)
         return true
     }
 
-    /** Seals buckets that have become old at [epochMillis] and forgets those past their use. */
+    /** Seals the buckets that are old enough at [epochMillis] and deletes those past their retention. */
     public fun advance(epochMillis: Long) {
-        val first = bucketOf(epochMillis) - OPEN_BUCKETS + 1
-        if (first <= firstOpenBucket) return
-        firstOpenBucket = first
-        open.keys.removeIf { it.bucket < first }
-        pendingGossip.keys.removeIf { it.bucket < first }
-        val oldest = first - KEPT_BUCKETS
-        fleet.values.forEach { it.headMap(oldest).clear() }
-        fleet.values.removeIf { it.isEmpty() }
-        cumulativeTallies.keys.retainAll(fleet.keys)
-        ownCumulativeTallies.keys.retainAll(fleet.keys)
+        val newFirstOpenBucket = bucketOf(epochMillis) - OPEN_BUCKETS + 1
+        if (newFirstOpenBucket <= firstOpenBucket) return
+        firstOpenBucket = newFirstOpenBucket
+        openCells.keys.removeIf { it.bucket < newFirstOpenBucket }
+        pendingGossip.keys.removeIf { it.bucket < newFirstOpenBucket }
+        val oldestKept = newFirstOpenBucket - KEPT_BUCKETS
+        fleetTallies.values.forEach { it.headMap(oldestKept).clear() }
+        fleetTallies.values.removeIf { it.isEmpty() }
+        cumulativeTallies.keys.retainAll(fleetTallies.keys)
+        ownCumulativeTallies.keys.retainAll(fleetTallies.keys)
     }
 
-    /** Up to [count] cells to tell a peer, those that changed longest ago first, [urgent] ones before the rest. */
+    /**
+     * Up to [count] changed cells to send to a peer, [urgent] ones before the rest and, within each group, those that
+     * changed the longest ago first.
+     */
     public fun nextToGossip(
         count: Int,
         urgent: (EvidenceSubject) -> Boolean = { true },
     ): List<Pair<EvidenceCell, Tally>> {
-        val first =
+        val urgentCells =
             pendingGossip.keys
                 .asSequence()
                 .filter { urgent(it.subject) }
                 .take(count)
                 .toList()
-        val missing = count - first.size
+        val remaining = count - urgentCells.size
         val rest =
             pendingGossip.keys
                 .asSequence()
                 .filterNot { urgent(it.subject) }
-                .take(missing)
+                .take(remaining)
                 .toList()
-        val chosen = first + rest
-        chosen.forEach { told(it) }
-        return chosen.mapNotNull { cell -> open[cell]?.let { cell to it } }
+        val chosen = urgentCells + rest
+        chosen.forEach { countSend(it) }
+        return chosen.mapNotNull { cell -> openCells[cell]?.let { cell to it } }
     }
 
     private fun replace(
         cell: EvidenceCell,
         tally: Tally,
     ) {
-        val grown = tally - (open.put(cell, tally) ?: Tally.EMPTY)
-        fleet.getOrPut(cell.subject) { TreeMap() }.merge(cell.bucket, grown) { left, right -> left + right }
-        cumulativeTallies.merge(cell.subject, grown) { left, right -> left + right }
-        if (cell.origin == self) ownCumulativeTallies.merge(cell.subject, grown) { left, right -> left + right }
+        val increase = tally - (openCells.put(cell, tally) ?: Tally.EMPTY)
+        fleetTallies.getOrPut(cell.subject) { TreeMap() }.merge(cell.bucket, increase) { left, right -> left + right }
+        cumulativeTallies.merge(cell.subject, increase) { left, right -> left + right }
+        if (cell.origin == self) ownCumulativeTallies.merge(cell.subject, increase) { left, right -> left + right }
         pendingGossip.putIfAbsent(cell, GOSSIP_REPEATS)
         pendingGossip.replace(cell, GOSSIP_REPEATS)
     }
 
-    private fun told(cell: EvidenceCell) {
+    private fun countSend(cell: EvidenceCell) {
         val left = (pendingGossip.remove(cell) ?: return) - 1
         if (left > 0) pendingGossip[cell] = left
     }
 
     public companion object {
-        /** Length of a bucket in milliseconds. */
+        /** Length of a time bucket in milliseconds. */
         public const val BUCKET_MILLIS: Long = 600_000
 
-        /** Buckets that are kept per router. */
+        /** Number of recent buckets with separate tallies per router. */
         public const val OPEN_BUCKETS: Long = 2
 
-        /** Sealed buckets that are kept: two days. */
+        /** Number of sealed buckets that are kept: two days. */
         public const val KEPT_BUCKETS: Long = 288
 
-        /** Bound on memory, about 400 bytes a cell. */
+        /** Bounds memory; a cell takes about 400 bytes. */
         public const val MAXIMUM_OPEN_CELLS: Int = 60_000
 
-        /** Peers that hear of each change from this router. */
+        /** Number of times that this router sends each change to a peer. */
         private const val GOSSIP_REPEATS = 4
 
-        /** The bucket of [epochMillis]. */
+        /** The bucket that contains [epochMillis]. */
         public fun bucketOf(epochMillis: Long): Long = Math.floorDiv(epochMillis, BUCKET_MILLIS)
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/EvidenceTotals.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/EvidenceTotals.kt
@@ -5,17 +5,17 @@
 import dev.almondhaven.model.TaskClass
 import java.util.NavigableMap
 
-/** The fleet's evidence at one moment, by subject and bucket. */
+/** The evidence of all routers by subject and time bucket. */
 public class EvidenceTotals(
     private val tallies: Map<EvidenceSubject, NavigableMap<Long, Tally>>,
 ) {
-    /** Task classes that [version], as defined in [definedIn], has evidence of. */
+    /** Task classes with evidence about [version] as defined in generation [definedIn]. */
     public fun taskClasses(
         version: ModelVersionId,
         definedIn: Generation,
     ): List<TaskClass> = tallies.keys.filter { it.version == version && it.definedIn == definedIn }.map { it.taskClass }
 
-    /** Sum of [subject]'s tallies over the buckets in [range]. */
+    /** The sum of the tallies of [subject] over the buckets in [range]. */
     public fun sum(
         subject: EvidenceSubject,
         range: LongRange,
@@ -27,6 +27,6 @@
     /** The tallies of [subject] by bucket. */
     public fun buckets(subject: EvidenceSubject): Map<Long, Tally> = tallies[subject].orEmpty()
 
-    /** Every subject with evidence. */
+    /** All subjects with evidence. */
     public val subjects: Set<EvidenceSubject> get() = tallies.keys
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/ExplorationBudget.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/ExplorationBudget.kt
@@ -5,9 +5,10 @@
 /**
  * Bounds on exploration.
  *
- * @property requestShare largest part of the requests that explore.
- * @property costShare largest part of the expected cost that exploration may add.
- * @property sufficientDeviation a version whose quality is known this well is explored no more.
+ * @property requestShare maximum share of the requests that explore.
+ * @property costShare maximum cost that exploration may add, as a share of the expected cost.
+ * @property sufficientDeviation standard deviation of a version's estimated quality at or below which it is no longer
+ *   explored.
  */
 public data class ExplorationLimits(
     public val requestShare: Double = DEFAULT_REQUEST_SHARE,
@@ -22,8 +23,8 @@
 }
 
 /**
- * Replaces now and then a plan by one that tries a less known version that might turn out to be the cheaper one. It
- * counts requests and cost, so that the limits hold over every prefix of the requests and not only on average.
+ * Occasionally replaces a plan by one that tries a version of uncertain quality that might be cheaper. It counts
+ * requests and cost, so that the limits hold after every single request and not only on average.
  */
 public class ExplorationBudget(
     private val limits: ExplorationLimits,
@@ -31,16 +32,16 @@
 ) {
     private var requests = 0L
     private var explored = 0L
-    private var planned = 0.0
-    private var added = 0.0
+    private var plannedCost = 0.0
+    private var totalAddedCost = 0.0
 
-    /** Requests that explored so far. */
+    /** Number of requests that explored so far. */
     public val exploredRequests: Long get() = explored
 
-    /** Cost that exploration has added so far over the plans that it replaced. */
-    public val addedCost: Double get() = added
+    /** Total cost that exploration has added so far to that of the replaced plans. */
+    public val addedCost: Double get() = totalAddedCost
 
-    /** [plan], or a plan that explores in its place. */
+    /** Returns [plan], or a plan that explores in its place. */
     @Synchronized
     public fun explore(
         plan: Plan,
@@ -48,20 +49,20 @@
         demand: Demand,
     ): Plan {
         requests++
-        planned += plan.cost
+        plannedCost += plan.cost
         if (explored + 1 > requests * limits.requestShare) return plan
-        if (random.nextDouble() >= limits.requestShare * CATCH_UP) return plan
-        val chosen = leastKnown(plan, candidates, demand) ?: return plan
+        if (random.nextDouble() >= limits.requestShare * CATCH_UP_FACTOR) return plan
+        val chosen = mostUncertain(plan, candidates, demand) ?: return plan
         val cost = PlanChooser.cost(chosen, demand)
-        val extra = (cost - plan.cost).coerceAtLeast(0.0)
-        if (added + extra > planned * limits.costShare) return plan
+        val extraCost = (cost - plan.cost).coerceAtLeast(0.0)
+        if (totalAddedCost + extraCost > plannedCost * limits.costShare) return plan
         explored++
-        added += extra
+        totalAddedCost += extraCost
         val quality = PlanChooser.quality(chosen)
         return Plan(chosen.version, null, ConfidenceBand.INCOMPLETE, cost, quality, quality >= demand.target, true)
     }
 
-    private fun leastKnown(
+    private fun mostUncertain(
         plan: Plan,
         candidates: List<Candidate>,
         demand: Demand,
@@ -70,23 +71,28 @@
             .filter { it.version.id != plan.first.id || plan.escalation != null }
             .filter { demand.promptTokens <= it.version.promptTokensLimit }
             .filter { it.estimate.deviation > limits.sufficientDeviation }
-            .filter { mightHelp(it, plan, demand) }
+            .filter { mightBeBetter(it, plan, demand) }
             .maxByOrNull { it.estimate.deviation }
 
-    private fun mightHelp(
+    private fun mightBeBetter(
         candidate: Candidate,
         plan: Plan,
         demand: Demand,
     ): Boolean {
-        val cheaper = PlanChooser.cost(candidate, demand) < plan.cost || !plan.meetsTarget
-        val highest = ConfidenceBand.HIGH
-        val optimistic = candidate.estimate.acceptedQuality(highest) + OPTIMISM * candidate.estimate.deviation
-        return cheaper && optimistic >= demand.target
+        val improves = PlanChooser.cost(candidate, demand) < plan.cost || !plan.meetsTarget
+        val highestBand = ConfidenceBand.HIGH
+        val optimisticQuality =
+            candidate.estimate.acceptedQuality(highestBand) + OPTIMISM_DEVIATIONS * candidate.estimate.deviation
+        return improves && optimisticQuality >= demand.target
     }
 
     private companion object {
-        /** How much faster than its share exploration may go while it is behind its budget. */
-        const val CATCH_UP = 4.0
-        const val OPTIMISM = 2.0
+        /** While exploration is behind its budget, its probability is its share times this factor. */
+        const val CATCH_UP_FACTOR = 4.0
+
+        /**
+         * Standard deviations by which a version's estimated quality is raised to see whether it is worth exploring.
+         */
+        const val OPTIMISM_DEVIATIONS = 2.0
     }
 }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/Plan.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/Plan.kt
@@ -3,15 +3,15 @@
 import dev.almondhaven.catalogue.ModelVersion
 
 /**
- * How a request is going to be served, with what is expected of it.
+ * The plan by which a request is served: one version, or a cascade of two.
  *
- * @property first the version that is tried first.
- * @property escalation the version that is tried when the first answer isn't accepted; null for a single version.
- * @property minimumConfidence the lowest confidence at which the first answer is accepted.
+ * @property first version that is asked first.
+ * @property escalation version that is asked if the first answer isn't accepted; null for a single version.
+ * @property minimumConfidence lowest confidence at which the first answer is accepted.
  * @property cost expected cost in micro-units of the users' currency.
  * @property quality expected quality, from 0 to 1.
  * @property meetsTarget whether [quality] reaches the organisation's target.
- * @property isExploration whether the plan is there to learn about [first].
+ * @property isExploration whether the plan's purpose is to learn about [first].
  */
 public data class Plan(
     public val first: ModelVersion,
@@ -23,7 +23,7 @@
     public val isExploration: Boolean = false,
 )
 
-/** A version that may serve the request, with what holds for it at this moment. */
+/** A version that may serve the request, with its quality estimate and current conditions. */
 public data class Candidate(
     public val version: ModelVersion,
     public val estimate: VersionEstimate,
@@ -31,10 +31,10 @@
 )
 
 /**
- * What holds for a version at this moment.
+ * Current conditions at the endpoints of a version.
  *
- * @property utilisation share of its endpoints' slots in use.
- * @property cachedPromptShare share of the prompt that an endpoint has cached.
+ * @property utilisation share of the endpoints' slots in use.
+ * @property cachedPromptShare share of the prompt that is in an endpoint's prefix cache.
  */
 public data class VersionConditions(
     public val utilisation: Double = 0.0,
@@ -42,13 +42,13 @@
 )
 
 /**
- * What a plan has to achieve.
+ * Requirements that a plan has to meet.
  *
- * @property promptTokens estimated length of the prompt.
- * @property outputTokens expected length of the answer.
- * @property target quality to reach, from 0 to 1.
+ * @property promptTokens estimated length of the prompt in tokens.
+ * @property outputTokens expected length of the answer in tokens.
+ * @property target required quality, from 0 to 1.
  * @property remainingMillis time until the deadline.
- * @property mayEscalate whether a second step is possible.
+ * @property mayEscalate whether a cascade is allowed.
  */
 public data class Demand(
     public val promptTokens: Int,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/Tally.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/Tally.kt
@@ -3,72 +3,73 @@
 import kotlin.math.ln
 
 /**
- * Counts of what a version's requests came to. The counters only grow, so that two readings of one router's tally merge
- * by taking the larger of each counter, and tallies of different routers add up.
+ * Immutable counters of the outcomes of a version's requests. One router's counters only grow, so two snapshots of
+ * its tally merge by taking the maximum of each counter (a grow-only counter CRDT). Tallies of different routers are
+ * summed.
  */
 public class Tally private constructor(
     private val counters: LongArray,
 ) {
-    /** Requests that ran. */
+    /** Requests that were executed. */
     public val requests: Long get() = counters[REQUESTS]
 
-    /** Requests that ended in an error of the endpoint. */
+    /** Requests that ended in an endpoint error. */
     public val errors: Long get() = counters[ERRORS]
 
-    /** Ratings that came in, but for those of escalated requests. */
+    /** Number of ratings, without those of escalated requests. */
     public val ratings: Long get() = ratingsWithoutConfidence + ConfidenceBand.ALL.sumOf { ratings(it) }
 
     /** Sum of the [ratings], each from 0 to 1. */
     public val ratingSum: Double get() = ratingSumWithoutConfidence + ConfidenceBand.ALL.sumOf { ratingSum(it) }
 
-    /** Ratings of answers whose confidence isn't known. */
+    /** Number of ratings of answers whose confidence is unknown. */
     public val ratingsWithoutConfidence: Long get() = counters[RATINGS_WITHOUT_CONFIDENCE]
 
-    /** Sum of the ratings of answers whose confidence isn't known. */
+    /** Sum of the ratings of answers whose confidence is unknown. */
     public val ratingSumWithoutConfidence: Double get() = counters[RATING_SUM_WITHOUT_CONFIDENCE] / RATING_UNITS
 
-    /** Requests whose latency is known. */
+    /** Number of requests whose latency is known. */
     public val timedRequests: Long get() = (0 until LATENCY_BANDS).sumOf { counters[LATENCIES + it] }
 
-    /** Answers whose confidence was [band]. */
+    /** Number of answers whose confidence was [band]. */
     public fun answers(band: ConfidenceBand): Long = counters[ANSWERS + band.ordinal]
 
-    /** Ratings of answers whose confidence was [band]. */
+    /** Number of ratings of answers whose confidence was [band]. */
     public fun ratings(band: ConfidenceBand): Long = counters[RATINGS + band.ordinal]
 
     /** Sum of the ratings of answers whose confidence was [band]. */
     public fun ratingSum(band: ConfidenceBand): Double = counters[RATING_SUMS + band.ordinal] / RATING_UNITS
 
-    /** Ratings of answers to requests that were escalated to the version; they are harder than the usual ones. */
+    /** Number of ratings of requests escalated to the version, which are harder than its other requests. */
     public val escalatedRatings: Long get() = counters[ESCALATED_RATINGS]
 
-    /** Sum of the ratings of answers to requests that were escalated to the version. */
+    /** Sum of the ratings of requests escalated to the version. */
     public val escalatedRatingSum: Double get() = counters[ESCALATED_RATING_SUM] / RATING_UNITS
 
-    /** Requests in latency band [band] or slower. */
+    /** Number of requests in latency band [band] or a slower one. */
     public fun slowerThan(band: Int): Long = (band until LATENCY_BANDS).sumOf { counters[LATENCIES + it] }
 
-    /** The [ratings] in rating band [band] or lower. */
+    /** Number of the [ratings] in rating band [band] or a lower one. */
     public fun ratedAtMost(band: Int): Long = (0..band).sumOf { counters[RATING_HISTOGRAM + it] }
 
-    /** The highest rating band that at least [share] of the [ratings] don't fall short of. */
+    /** The highest rating band such that at least [share] of the [ratings] are in it or above. */
     public fun ratingQuantileBand(share: Double): Int {
-        val wanted = ratings * share
-        return (RATING_BANDS - 1 downTo 1).firstOrNull { ratings - ratedAtMost(it - 1) >= wanted } ?: 0
+        val required = ratings * share
+        return (RATING_BANDS - 1 downTo 1).firstOrNull { ratings - ratedAtMost(it - 1) >= required } ?: 0
     }
 
-    /** The lowest latency band that at least [share] of the timed requests don't exceed. */
+    /** The lowest latency band such that at least [share] of the [timedRequests] are in it or below. */
     public fun latencyQuantileBand(share: Double): Int {
-        val wanted = timedRequests * share
-        var seen = 0L
+        val required = timedRequests * share
+        var cumulative = 0L
         for (band in 0 until LATENCY_BANDS) {
-            seen += counters[LATENCIES + band]
-            if (seen >= wanted) return band
+            cumulative += counters[LATENCIES + band]
+            if (cumulative >= required) return band
         }
         return LATENCY_BANDS - 1
     }
 
-    /** With one more ended request. */
+    /** A copy with one more completed request. */
     public fun plusRequest(
         failed: Boolean,
         millisecondsPerToken: Double?,
@@ -82,7 +83,7 @@
         return Tally(next)
     }
 
-    /** With one more rating, from 0 to 1, of an answer whose confidence was [confidence], if that is known. */
+    /** A copy with one more [rating], from 0 to 1, of an answer; [confidence] is null if unknown. */
     public fun plusRating(
         rating: Double,
         confidence: ConfidenceBand?,
@@ -96,7 +97,7 @@
         return Tally(next)
     }
 
-    /** With one more rating, from 0 to 1, of an answer to a request that was escalated to the version. */
+    /** A copy with one more [rating], from 0 to 1, of a request that was escalated to the version. */
     public fun plusEscalatedRating(rating: Double): Tally {
         require(rating in 0.0..1.0) { "rating must be from 0 to 1, got $rating" }
         val next = counters.copyOf()
@@ -105,19 +106,19 @@
         return Tally(next)
     }
 
-    /** The later of two readings of one router's tally. */
+    /** Merges two snapshots of the same router's tally. */
     public fun merge(other: Tally): Tally = Tally(LongArray(SIZE) { maxOf(counters[it], other.counters[it]) })
 
-    /** The sum of two routers' or two buckets' tallies. */
+    /** Adds the tally of another router or time bucket. */
     public operator fun plus(other: Tally): Tally = Tally(LongArray(SIZE) { counters[it] + other.counters[it] })
 
-    /** What this reading counts beyond the earlier reading [other]. */
+    /** The difference to [other], an earlier snapshot of the same tally. */
     public operator fun minus(other: Tally): Tally = Tally(LongArray(SIZE) { counters[it] - other.counters[it] })
 
     /** Whether [merge] with [other] would change nothing. */
     public fun covers(other: Tally): Boolean = counters.indices.all { counters[it] >= other.counters[it] }
 
-    /** Compact text for messages: `index:count` of the counters that aren't zero. */
+    /** Compact text for messages: `index:count` for each counter that isn't zero, the count in base 36. */
     public fun toText(): String =
         counters.indices
             .filter { counters[it] != 0L }
@@ -130,6 +131,7 @@
     override fun toString(): String = "Tally(${toText()})"
 
     public companion object {
+        /** Positions of the counters; each confidence, latency or rating band has a counter of its own. */
         private const val REQUESTS = 0
         private const val ERRORS = 1
         private const val ANSWERS = 2
@@ -144,18 +146,18 @@
         private const val SIZE = 46
         private const val RADIX = 36
 
-        /** A rating is counted in thousandths. */
+        /** Rating sums are stored in thousandths. */
         private const val RATING_UNITS = 1_000.0
 
-        /** Latency bands, each half an octave wide, the first one up to a millisecond per token. */
+        /** Number of latency bands, each half an octave (a factor of √2) wide; the first one ends at 1 ms per token. */
         public const val LATENCY_BANDS: Int = RATING_HISTOGRAM - LATENCIES
 
-        /** Bands of ratings, each a tenth wide. */
+        /** Number of rating bands, each 0.1 wide. */
         public const val RATING_BANDS: Int = SIZE - RATING_HISTOGRAM
 
         private const val BANDS_PER_OCTAVE = 2
 
-        /** No request at all. */
+        /** The tally of no requests. */
         public val EMPTY: Tally = Tally(LongArray(SIZE))
 
         /** The sum of [tallies]. */
@@ -167,31 +169,31 @@
             return Tally(sums)
         }
 
-        /** The latency band of [millisecondsPerToken]. */
+        /** The latency band that contains [millisecondsPerToken]. */
         public fun latencyBand(millisecondsPerToken: Double): Int {
             if (millisecondsPerToken <= 1.0) return 0
             val octaves = ln(millisecondsPerToken) / ln(2.0)
             return (1 + (octaves * BANDS_PER_OCTAVE).toInt()).coerceAtMost(LATENCY_BANDS - 1)
         }
 
-        /** The rating band of [rating]. */
+        /** The rating band that contains [rating]. */
         public fun ratingBand(rating: Double): Int = (rating * RATING_BANDS).toInt().coerceIn(0, RATING_BANDS - 1)
 
-        /** Bands by which ratings differ whose difference is [difference], rounded up. */
-        public fun bandsOfRatingDifference(difference: Double): Int =
+        /** The number of rating bands that a rating [difference] spans, rounded up. */
+        public fun ratingBandsSpanned(difference: Double): Int =
             kotlin.math
                 .ceil(difference * RATING_BANDS)
                 .toInt()
                 .coerceAtLeast(1)
 
-        /** Bands by which latencies differ whose ratio is [ratio], rounded up. */
-        public fun bandsOfRatio(ratio: Double): Int =
+        /** The number of latency bands that a latency [ratio] spans, rounded up. */
+        public fun latencyBandsSpanned(ratio: Double): Int =
             kotlin.math
                 .ceil(ln(ratio) / ln(2.0) * BANDS_PER_OCTAVE)
                 .toInt()
                 .coerceAtLeast(1)
 
-        /** Reads what [toText] wrote; null when [text] is something else. Counters it doesn't know are left out. */
+        /** Parses the output of [toText]; null if [text] is malformed. Counters with an unknown index are ignored. */
         public fun parseOrNull(text: String): Tally? {
             val counters = LongArray(SIZE)
             if (text.isEmpty()) return EMPTY
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/TaskClassifier.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/TaskClassifier.kt
@@ -3,11 +3,11 @@
 import dev.almondhaven.model.TaskClass
 
 /**
- * What can be seen of a request at no cost.
+ * The properties of a request that are known without running a model.
  *
- * @property promptTokens estimated length of the prompt.
- * @property outputTokensLimit most tokens that the caller wants back; null when it doesn't say.
- * @property hasImages whether the prompt holds images.
+ * @property promptTokens estimated length of the prompt in tokens.
+ * @property outputTokensLimit maximum output tokens that the caller asked for; null if it set no limit.
+ * @property hasImages whether the prompt contains images.
  */
 public data class RequestShape(
     public val promptTokens: Int,
@@ -15,7 +15,7 @@
     public val hasImages: Boolean,
 )
 
-/** The default classifier, for requests that don't declare their task class. */
+/** Classifies requests that don't declare their task class. */
 public object TaskClassifier {
     /** Writing long texts from long documents. */
     public val DRAFTING: TaskClass = TaskClass("drafting")
@@ -27,21 +27,21 @@
     public val TAGGING: TaskClass = TaskClass("tagging")
 
     private const val LONG_PROMPT_TOKENS = 4_000
-    private const val SHORT_OUTPUT_TOKENS = 64
+    private const val SHORT_OUTPUT_LIMIT_TOKENS = 64
     private const val DRAFTING_OUTPUT_TOKENS = 1_200
     private const val QUERY_OUTPUT_TOKENS = 250
     private const val TAGGING_OUTPUT_TOKENS = 30
 
-    /** The class of a request of this [shape]. */
+    /** The task class of a request with this [shape]. */
     public fun classify(shape: RequestShape): TaskClass =
         when {
             shape.hasImages -> TAGGING
-            shape.outputTokensLimit != null && shape.outputTokensLimit <= SHORT_OUTPUT_TOKENS -> TAGGING
+            shape.outputTokensLimit != null && shape.outputTokensLimit <= SHORT_OUTPUT_LIMIT_TOKENS -> TAGGING
             shape.promptTokens >= LONG_PROMPT_TOKENS -> DRAFTING
             else -> QUERY
         }
 
-    /** Tokens that an answer of [taskClass] is expected to have, within the caller's [limit]. */
+    /** Expected number of output tokens for [taskClass], at most the caller's [limit]. */
     public fun expectedOutputTokens(
         taskClass: TaskClass,
         limit: Int?,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/choice/VersionEstimate.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/choice/VersionEstimate.kt
@@ -6,15 +6,15 @@
 import kotlin.math.sqrt
 
 /**
- * What is believed of a version's answers in one task class.
+ * Bayesian estimate of the quality and latency of a version's answers in one task class.
  *
  * @property quality posterior mean, from 0 to 1.
  * @property deviation posterior standard deviation of [quality].
- * @property ratings decayed count of ratings behind it, without the prior.
+ * @property ratings time-decayed number of ratings that the estimate is based on, without the prior.
  * @property acceptance expected share of answers at or above each confidence band.
  * @property acceptedQuality expected quality of the answers at or above each confidence band.
- * @property millisecondsPerToken expected time per generated token; the time to the first one is spread over them.
- * @property escalatedQuality expected quality of answers to requests that another version failed at first.
+ * @property millisecondsPerToken expected time per output token, which includes a share of the time to the first token.
+ * @property escalatedQuality expected quality for requests whose first answer, by another version, was not accepted.
  */
 public class VersionEstimate(
     public val quality: Double,
@@ -32,7 +32,7 @@
     public fun acceptedQuality(band: ConfidenceBand): Double = acceptedQuality[band.ordinal]
 
     public companion object {
-        /** Time after which a rating counts half, in milliseconds. */
+        /** Half-life of a rating's weight, in milliseconds. */
         public const val HALF_LIFE_MILLIS: Double = 12.0 * 3_600_000
 
         private const val DEFAULT_MILLISECONDS_PER_TOKEN = 30.0
@@ -43,17 +43,20 @@
         private const val ESCALATED_PRIOR_WEIGHT = 20.0
         private val PRIOR_BAND_SHARES = doubleArrayOf(0.02, 0.18, 0.4, 0.4)
 
-        private const val FULL_OFFSET_ROOM = 0.2
+        /** Distances of the quality from 1 and from 0 above which the band offsets apply in full. */
+        private const val FULL_OFFSET_HEADROOM = 0.2
         private const val FULL_OFFSET_FLOOR = 0.4
 
-        /** How far the bands' quality lies from the version's before any rating; they weigh out to 0. */
+        /**
+         * Prior difference between a band's quality and the version's; the average weighted by the prior shares is 0.
+         */
         private val PRIOR_BAND_OFFSETS = doubleArrayOf(-0.4, -0.2, 0.01, 0.1)
 
         /**
          * The estimate for [version] in [taskClass] from its [buckets] of evidence at [epochMillis].
          *
-         * Quality is estimated per confidence band and weighted by the bands' shares, since the answers of a cascade's
-         * first step that are delivered, and so rated, are the confident ones only.
+         * Quality is estimated per confidence band and weighted by the bands' shares. A plain average would be biased:
+         * of a cascade's first answers only the confident ones are delivered and rated.
          */
         public fun of(
             version: ModelVersion,
@@ -76,7 +79,7 @@
             return VersionEstimate(
                 quality,
                 sqrt(bands.sumOf { it.share * it.share * it.variance }),
-                evidence.ratings.sum() + evidence.unjudgedRatings,
+                evidence.ratings.sum() + evidence.ratingsWithoutConfidence,
                 acceptance,
                 acceptedQuality,
                 millisecondsPerToken(buckets),
@@ -95,19 +98,22 @@
             val expected = version.quality.of(taskClass)
             val prior = expected + bandOffset(band, expected)
             val weight = version.quality.weight.coerceAtLeast(1.0) * PRIOR_BAND_SHARES[band]
-            val unjudged = evidence.unjudgedRatings * share
-            val unjudgedMean = evidence.unjudgedMean(expected)
-            val unjudgedQuality = unjudgedMean + bandOffset(band, unjudgedMean)
-            val total = weight + evidence.ratings[band] + unjudged
-            val quality = (prior * weight + evidence.ratingSums[band] + unjudgedQuality * unjudged) / total
+            val weightWithoutConfidence = evidence.ratingsWithoutConfidence * share
+            val meanWithoutConfidence = evidence.meanWithoutConfidence(expected)
+            val qualityWithoutConfidence = meanWithoutConfidence + bandOffset(band, meanWithoutConfidence)
+            val total = weight + evidence.ratings[band] + weightWithoutConfidence
+            val quality =
+                (prior * weight + evidence.ratingSums[band] + qualityWithoutConfidence * weightWithoutConfidence) /
+                    total
             return BandEstimate(share, quality, quality * (1 - quality) / (total + 1))
         }
 
-        /** Offsets shrink towards the ends of the scale, so that every band's quality stays from 0 to 1. */
+        /** The offset shrinks near 0 and 1, so that the quality of every band stays within that range. */
         private fun bandOffset(
             band: Int,
             quality: Double,
-        ): Double = PRIOR_BAND_OFFSETS[band] * minOf(1.0, (1 - quality) / FULL_OFFSET_ROOM, quality / FULL_OFFSET_FLOOR)
+        ): Double =
+            PRIOR_BAND_OFFSETS[band] * minOf(1.0, (1 - quality) / FULL_OFFSET_HEADROOM, quality / FULL_OFFSET_FLOOR)
 
         private fun millisecondsPerToken(buckets: Map<Long, Tally>): Double {
             val newest =
@@ -134,9 +140,9 @@
     val answers = DoubleArray(ConfidenceBand.ALL.size)
     val ratings = DoubleArray(ConfidenceBand.ALL.size)
     val ratingSums = DoubleArray(ConfidenceBand.ALL.size)
-    var unjudgedRatings = 0.0
+    var ratingsWithoutConfidence = 0.0
         private set
-    private var unjudgedRatingSum = 0.0
+    private var ratingSumWithoutConfidence = 0.0
     private var escalatedRatings = 0.0
     private var escalatedRatingSum = 0.0
 
@@ -144,8 +150,8 @@
         for ((bucket, tally) in buckets) {
             val age = (epochMillis - bucket * EvidencePool.BUCKET_MILLIS).coerceAtLeast(0)
             val weight = 0.5.pow(age / VersionEstimate.HALF_LIFE_MILLIS)
-            unjudgedRatings += weight * tally.ratingsWithoutConfidence
-            unjudgedRatingSum += weight * tally.ratingSumWithoutConfidence
+            ratingsWithoutConfidence += weight * tally.ratingsWithoutConfidence
+            ratingSumWithoutConfidence += weight * tally.ratingSumWithoutConfidence
             escalatedRatings += weight * tally.escalatedRatings
             escalatedRatingSum += weight * tally.escalatedRatingSum
             for (band in ConfidenceBand.ALL) {
@@ -156,11 +162,11 @@
         }
     }
 
-    /** Mean of the ratings of answers whose confidence isn't known, or [otherwise] when there is none. */
-    fun unjudgedMean(otherwise: Double): Double =
-        if (unjudgedRatings == 0.0) otherwise else unjudgedRatingSum / unjudgedRatings
+    /** Mean rating of answers whose confidence is unknown, or [default] if there are none. */
+    fun meanWithoutConfidence(default: Double): Double =
+        if (ratingsWithoutConfidence == 0.0) default else ratingSumWithoutConfidence / ratingsWithoutConfidence
 
-    /** Mean of the ratings of escalated requests, with [prior] counting as [weight] of them. */
+    /** Mean rating of escalated requests, where [prior] counts as much as [weight] ratings. */
     fun escalatedMean(
         prior: Double,
         weight: Double,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/VersionTrial.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/VersionTrial.kt
@@ -153,7 +153,7 @@
         threshold: Double,
     ): TrialEvidence {
         val usual = reference.latencyQuantileBand(USUAL_SHARE)
-        val slowBand = usual + 1 + Tally.bandsOfRatio(margins.maximumLatencyRatio)
+        val slowBand = usual + 1 + Tally.latencyBandsSpanned(margins.maximumLatencyRatio)
         val slow = if (slowBand >= Tally.LATENCY_BANDS) 0 else candidate.slowerThan(slowBand)
         val candidateSample = Sample(candidate.timedRequests, slow.toDouble())
         val referenceSample = Sample(reference.timedRequests, reference.slowerThan(usual + 1).toDouble())
@@ -172,7 +172,7 @@
         threshold: Double,
     ): TrialEvidence {
         val usual = reference.ratingQuantileBand(USUAL_SHARE)
-        val lowBand = usual - 1 - Tally.bandsOfRatingDifference(margins.maximumQualityLoss)
+        val lowBand = usual - 1 - Tally.ratingBandsSpanned(margins.maximumQualityLoss)
         val low = if (lowBand < 0) 0 else candidate.ratedAtMost(lowBand)
         val candidateSample = Sample(candidate.ratings, low.toDouble())
         val usuallyLow = if (usual == 0) 0 else reference.ratedAtMost(usual - 1)
--- a/decision/src/test/kotlin/dev/almondhaven/decision/choice/EvidencePoolTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/choice/EvidencePoolTest.kt
@@ -29,18 +29,18 @@
     private fun tally(requests: Int): Tally =
         (1..requests).fold(Tally.EMPTY) { tally, number -> tally.plusRequest(number % 3 == 0, 20.0, null) }
 
-    private fun pool(vararg readings: Pair<EvidenceCell, Tally>): EvidencePool =
-        EvidencePool(RouterId("self")).also { pool -> readings.forEach { (cell, tally) -> pool.merge(cell, tally) } }
+    private fun pool(vararg tallies: Pair<EvidenceCell, Tally>): EvidencePool =
+        EvidencePool(RouterId("self")).also { pool -> tallies.forEach { (cell, tally) -> pool.merge(cell, tally) } }
 
     @Nested
     inner class `merging evidence` {
-        private val readings =
+        private val tallies =
             Arb.list(Arb.bind(Arb.int(0, 4), Arb.int(0, 20)) { origin, count -> cell(origin) to tally(count) }, 0..20)
 
         @Test
-        fun `comes to the same in any order and however often`() =
+        fun `is commutative and idempotent`() =
             runBlocking<Unit> {
-                checkAll(PropTestConfig(seed = 7), readings) { all ->
+                checkAll(PropTestConfig(seed = 7), tallies) { all ->
                     val once = pool(*all.toTypedArray())
                     val twiceReversed = pool(*(all.reversed() + all).toTypedArray())
 
@@ -50,9 +50,9 @@
             }
 
         @Test
-        fun `of pools is associative`() =
+        fun `is associative`() =
             runBlocking<Unit> {
-                checkAll(PropTestConfig(seed = 8), readings, readings, readings) { first, second, third ->
+                checkAll(PropTestConfig(seed = 8), tallies, tallies, tallies) { first, second, third ->
                     val left =
                         pool(
                             *pool(*(first + second).toTypedArray()).cells.toList().toTypedArray(),
@@ -69,7 +69,7 @@
             }
 
         @Test
-        fun `drops a reading of a sealed bucket`() {
+        fun `drops a tally of a sealed bucket`() {
             val pool = pool(cell(1) to tally(4))
             pool.advance(5 * EvidencePool.BUCKET_MILLIS)
 
@@ -79,21 +79,21 @@
     }
 
     @Nested
-    inner class `telling evidence` {
+    inner class `gossiping evidence` {
         @Test
-        fun `repeats a change a few times and then rests`() {
+        fun `sends each change a few times and then stops`() {
             val pool = pool(cell(1) to tally(4))
 
             expectThat((1..6).map { pool.nextToGossip(10).size }).isEqualTo(listOf(1, 1, 1, 1, 0, 0))
         }
 
         @Test
-        fun `keeps a tally through its text`() {
+        fun `restores a tally from its text`() {
             expectThat(Tally.parseOrNull(tally(17).toText())).isEqualTo(tally(17))
         }
 
         @Test
-        fun `takes nothing from text of another shape`() {
+        fun `rejects malformed text`() {
             expectThat(listOf("x", "1:", "0:-5").all { Tally.parseOrNull(it) == null }).isTrue()
         }
     }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/choice/ExplorationBudgetTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/choice/ExplorationBudgetTest.kt
@@ -34,7 +34,7 @@
         }
 
     @Test
-    fun `tries a less known version that might be the cheaper one`() {
+    fun `tries a version of uncertain quality that might be cheaper`() {
         val budget = ExplorationBudget(ExplorationLimits(), RandomSource.XO_RO_SHI_RO_128_PP.create(1))
         repeat(2_000) { budget.explore(plan, candidates, demand) }
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `ends for versions that are known well enough`() {
+    fun `stops for versions whose quality is known well enough`() {
         var tally = Tally.EMPTY
         repeat(5_000) { tally = tally.plusRating(0.83, ConfidenceBand.ALL[it % 4]) }
         val small = candidates.first().version
--- a/decision/src/test/kotlin/dev/almondhaven/decision/choice/PlanChooserTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/choice/PlanChooserTest.kt
@@ -25,7 +25,7 @@
     @Nested
     inner class `the plan` {
         @Test
-        fun `is the cheap version when it reaches the target`() {
+        fun `is the cheap version if that reaches the target`() {
             val candidates = listOf(candidate(version("small", 1.0, 0.92)), candidate(version("large", 9.0, 0.97)))
 
             val plan = PlanChooser.choose(candidates, demand)
@@ -35,9 +35,9 @@
         }
 
         @Test
-        fun `is a cascade when the cheap version's confident answers are good enough`() {
+        fun `is a cascade if the confident answers of the cheap version are good enough`() {
             val small = version("small", 1.0, 0.8)
-            val evidence = informativeEvidence()
+            val evidence = calibratedEvidence()
             val estimate = VersionEstimate.of(small, TaskClassifier.QUERY, mapOf(0L to evidence), 0)
             val candidates = listOf(Candidate(small, estimate), candidate(version("large", 9.0, 0.97)))
 
@@ -48,9 +48,9 @@
         }
 
         @Test
-        fun `never escalates when that isn't allowed`() {
+        fun `has no escalation if that isn't allowed`() {
             val small = version("small", 1.0, 0.8)
-            val estimate = VersionEstimate.of(small, TaskClassifier.QUERY, mapOf(0L to informativeEvidence()), 0)
+            val estimate = VersionEstimate.of(small, TaskClassifier.QUERY, mapOf(0L to calibratedEvidence()), 0)
             val candidates = listOf(Candidate(small, estimate), candidate(version("large", 9.0, 0.97)))
 
             val plan = PlanChooser.choose(candidates, demand.copy(target = 0.9, mayEscalate = false))
@@ -59,7 +59,7 @@
         }
 
         @Test
-        fun `is the best available when none reaches the target, and says so`() {
+        fun `is the best available if none reaches the target, and is marked as such`() {
             val candidates = listOf(candidate(version("small", 1.0, 0.5)), candidate(version("large", 9.0, 0.7)))
 
             val plan = PlanChooser.choose(candidates, demand)
@@ -68,13 +68,13 @@
         }
 
         @Test
-        fun `doesn't exist for a prompt that no version takes`() {
+        fun `doesn't exist for a prompt that is too long for every version`() {
             val plan = PlanChooser.choose(listOf(candidate(version("small", promptTokensLimit = 50))), demand)
 
             expectThat(plan).isNull()
         }
 
-        private fun informativeEvidence(): Tally {
+        private fun calibratedEvidence(): Tally {
             var tally = Tally.EMPTY
             repeat(400) { tally = tally.plusRequest(false, 20.0, ConfidenceBand.HIGH) }
             repeat(100) { tally = tally.plusRequest(false, 20.0, ConfidenceBand.LOW) }
@@ -92,7 +92,7 @@
             }
 
         @Test
-        fun `the cost is never above that of the best single version that reaches the target`() =
+        fun `the cost never exceeds that of the cheapest single version that reaches the target`() =
             runBlocking<Unit> {
                 checkAll(
                     PropTestConfig(seed = 5),
--- a/decision/src/test/kotlin/dev/almondhaven/decision/choice/Versions.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/choice/Versions.kt
@@ -7,7 +7,7 @@
 import dev.almondhaven.model.ModelId
 import dev.almondhaven.model.VersionId
 
-/** A version of the model `slate-[name]` with [price] per token and expected [quality]. */
+/** A version of the model `slate-[name]` that costs [price] per output token, with prior [quality]. */
 internal fun version(
     name: String,
     price: Double = 1.0,
@@ -24,6 +24,6 @@
         definedIn = Generation(definedIn),
     )
 
-/** [version] with what its prior alone says of queries. */
+/** A candidate of [version], with an estimate for queries that is based on the prior alone. */
 internal fun candidate(version: ModelVersion): Candidate =
     Candidate(version, VersionEstimate.of(version, TaskClassifier.QUERY, emptyMap(), 0))
