--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/Quarantine.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/Quarantine.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a version is tested for. */
+/** The measure in which a version was found to be bad. */
 @Serializable
 public enum class TrialMeasure {
     @SerialName("error_rate")
@@ -19,10 +19,10 @@
     RATINGS,
 }
 
-/** What a version was compared with. */
+/** The reference that a version was compared with. */
 @Serializable
 public enum class TrialReference {
-    /** Its predecessor's traffic during the roll-out. */
+    /** Traffic of its predecessor during the roll-out. */
     @SerialName("predecessor")
     PREDECESSOR,
 
@@ -32,14 +32,14 @@
 }
 
 /**
- * The evidence that a version is bad.
+ * The test result that shows that a version is bad.
  *
- * @property logEvidence natural logarithm of the test's evidence.
- * @property threshold the logarithm that it had to exceed.
- * @property candidateCount observations of the version.
- * @property candidateMean their mean: a share of errors, of slow answers, or of lost quality.
- * @property referenceCount observations of what it was compared with.
- * @property referenceMean their mean.
+ * @property logEvidence natural logarithm of the evidence.
+ * @property threshold value that [logEvidence] had to exceed.
+ * @property candidateCount number of observations of the version.
+ * @property candidateMean mean of these observations: the share of errors or slow answers, or the average quality loss.
+ * @property referenceCount number of observations of the reference.
+ * @property referenceMean mean of the reference's observations.
  */
 @Serializable
 public data class TrialEvidence(
@@ -54,12 +54,12 @@
 )
 
 /**
- * A version that gets no new sessions.
+ * The decision that a version gets no new sessions.
  *
- * @property definedIn generation that introduced the definition which turned out bad; a note that defines the version
- *   anew ends the quarantine.
- * @property at epoch milliseconds of the decision.
- * @property by the router that decided.
+ * @property definedIn configuration generation that introduced the bad definition of the version; a configuration note
+ *   that redefines the version ends the quarantine.
+ * @property at time of the decision in epoch milliseconds.
+ * @property by router that made the decision.
  */
 @Serializable
 public data class Quarantine(
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/QuarantinePolicy.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/QuarantinePolicy.kt
@@ -10,7 +10,7 @@
 import dev.almondhaven.model.ModelVersionId
 import dev.almondhaven.model.RouterId
 
-/** Decides which versions go into quarantine, on the evidence that one router holds. */
+/** Decides which versions to quarantine, from the evidence that one router has. */
 public class QuarantinePolicy(
     private val self: RouterId,
     limits: TrialLimits,
@@ -18,13 +18,13 @@
     private val trial = VersionTrial(limits)
 
     /**
-     * New quarantines for [catalogue] beside those [held]. Quarantines that rest on ratings alone never cover more than
-     * half of the versions in service, since ratings come from outside. [recent] is what came in lately, in windows of
-     * several lengths.
+     * New quarantines for the versions in [catalogue], in addition to those in [quarantines]. At most half of the
+     * versions in service are quarantined because of ratings, since ratings come from an external service. [recent]
+     * holds the latest evidence in windows of several lengths.
      */
     public fun decide(
         catalogue: Catalogue,
-        held: QuarantineSet,
+        quarantines: QuarantineSet,
         evidence: EvidenceTotals,
         recent: List<Map<EvidenceSubject, Tally>>,
         epochMillis: Long,
@@ -33,22 +33,22 @@
         val byId = active.associateBy { it.id }
         val past = VersionTrial.pastBuckets(EvidencePool.bucketOf(epochMillis))
         val windows = recent.map { TrialWindow(it, RatingAnomalyDetector.trustsRatings(it, evidence, past)) }
-        var byRatings = active.count { held.find(it)?.evidence?.measure == TrialMeasure.RATINGS }
-        return active.filterNot { held.contains(it) }.mapNotNull { version ->
-            val found = trial.evaluate(version, predecessor(version, byId), evidence, windows, epochMillis)
-            val byRating = found?.measure == TrialMeasure.RATINGS
+        var quarantinedByRatings = active.count { quarantines.find(it)?.evidence?.measure == TrialMeasure.RATINGS }
+        return active.filterNot { quarantines.contains(it) }.mapNotNull { version ->
+            val trialEvidence = trial.evaluate(version, predecessor(version, byId), evidence, windows, epochMillis)
+            val isRatingBased = trialEvidence?.measure == TrialMeasure.RATINGS
             when {
-                found == null -> {
+                trialEvidence == null -> {
                     null
                 }
 
-                byRating && (byRatings + 1) * 2 > active.size -> {
+                isRatingBased && (quarantinedByRatings + 1) * 2 > active.size -> {
                     null
                 }
 
                 else -> {
-                    if (byRating) byRatings++
-                    Quarantine(version.id, version.definedIn, epochMillis, self, found)
+                    if (isRatingBased) quarantinedByRatings++
+                    Quarantine(version.id, version.definedIn, epochMillis, self, trialEvidence)
                 }
             }
         }
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/QuarantineSet.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/QuarantineSet.kt
@@ -5,56 +5,58 @@
 import dev.almondhaven.model.ModelVersionId
 
 /**
- * The quarantines that a router knows of. Sets merge commutatively, associatively and idempotently: of two quarantines
- * of one definition the earlier one stays.
+ * Immutable set of the quarantines that a router knows. Merging is commutative, associative and idempotent: of two
+ * quarantines of the same definition of a version the earlier one is kept.
  */
 public class QuarantineSet private constructor(
     private val bySubject: Map<QuarantineSubject, Quarantine>,
 ) {
-    /** Every quarantine, in order of time. */
+    /** All quarantines in order of time. */
     public val all: List<Quarantine> get() = bySubject.values.sortedWith(ORDER)
 
-    /** Whether there is none. */
+    /** Whether there are no quarantines. */
     public val isEmpty: Boolean get() = bySubject.isEmpty()
 
-    /** Whether [version] as it is now defined is in quarantine. */
+    /** Whether this definition of [version] is in quarantine. */
     public fun contains(version: ModelVersion): Boolean = bySubject.isNotEmpty() && find(version) != null
 
-    /** The quarantine of [version] as it is now defined, or null. */
+    /** The quarantine of this definition of [version], or null. */
     public fun find(version: ModelVersion): Quarantine? = bySubject[QuarantineSubject(version.id, version.definedIn)]
 
-    /** With [quarantine] as well. */
+    /** Returns a set that also contains [quarantine]. */
     public fun plus(quarantine: Quarantine): QuarantineSet {
-        val held = bySubject[quarantine.subject]
-        if (held != null && ORDER.compare(held, quarantine) <= 0) return this
+        val existing = bySubject[quarantine.subject]
+        if (existing != null && ORDER.compare(existing, quarantine) <= 0) return this
         return QuarantineSet(bySubject + (quarantine.subject to quarantine))
     }
 
-    /** With everything in [other] as well. */
+    /** Returns the union of both sets. */
     public fun merge(other: QuarantineSet): QuarantineSet =
         other.bySubject.values.fold(this) { set, it -> set.plus(it) }
 
     /**
-     * Without quarantines that [definedIn], the current definitions' generations, has overtaken or that concern versions
-     * no longer there. A quarantine of a definition newer than the one held here stays: the note is still on its way.
+     * Returns a set without the quarantines of superseded definitions. [definedIn] gives the generation of a
+     * version's current definition, or null if the version is unknown. A quarantine of a newer definition or of an
+     * unknown version is kept, since the configuration note with that definition may not have arrived yet.
      */
     public fun withoutSuperseded(definedIn: (ModelVersionId) -> Generation?): QuarantineSet {
         val kept =
             bySubject.filterKeys { subject ->
-                val held = definedIn(subject.version)
-                held == null || subject.definedIn >= held
+                val currentDefinition = definedIn(subject.version)
+                currentDefinition == null || subject.definedIn >= currentDefinition
             }
         return if (kept.size == bySubject.size) this else QuarantineSet(kept)
     }
 
     /**
-     * The part of [allowed] that new sessions may start on. When every allowed version is in quarantine, the one with
-     * the least evidence against it stays: an organisation is never left without a model by learned state.
+     * The versions of [allowed] on which new sessions may start. If every allowed version is in quarantine, the one
+     * with the least evidence against it is kept: automatic decisions must never leave an organisation without a
+     * model.
      */
     public fun usable(allowed: List<ModelVersion>): List<ModelVersion> {
         if (isEmpty) return allowed
-        val free = allowed.filterNot { contains(it) }
-        if (free.isNotEmpty() || allowed.isEmpty()) return free
+        val unquarantined = allowed.filterNot { contains(it) }
+        if (unquarantined.isNotEmpty() || allowed.isEmpty()) return unquarantined
         return listOf(allowed.minWith(compareBy({ evidenceAgainst(it) }, { it.id.toString() })))
     }
 
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RatingAnomalyDetector.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RatingAnomalyDetector.kt
@@ -6,17 +6,21 @@
 import dev.almondhaven.model.ModelVersionId
 
 /**
- * Tells times in which the rating service itself is to blame: a version that turns bad loses quality alone, a rating
- * service that fails or turns hostile lowers the ratings of most versions at once.
+ * Detects periods in which the rating service itself is faulty: a version that degrades loses quality alone, whereas a
+ * rating service that fails or turns hostile lowers the ratings of most versions at once.
  */
 public object RatingAnomalyDetector {
-    private const val LEAST_RATINGS = 10
-    private const val LEAST_WINDOW_RATINGS = 3
-    private const val DROP = 0.15
+    private const val MINIMUM_RATINGS = 10
+    private const val MINIMUM_WINDOW_RATINGS = 3
+
+    /** Decrease of a version's mean rating above which it counts as dropped. */
+    private const val DROP_THRESHOLD = 0.15
+
+    /** The rating service is suspected if more than this share of the compared versions dropped. */
     private const val SUSPICIOUS_SHARE = 0.5
-    private const val LEAST_VERSIONS = 2
+    private const val MINIMUM_VERSIONS = 2
 
-    /** Buckets whose ratings are to be left out. */
+    /** Time buckets whose ratings must be ignored. */
     public fun distrustedBuckets(evidence: EvidenceTotals): Set<Long> {
         val subjects = evidence.subjects.toList()
         val past = HashMap<EvidenceSubject, Tally>()
@@ -25,8 +29,8 @@
             val rated =
                 subjects
                     .mapNotNull { subject -> evidence.buckets(subject)[bucket]?.let { subject to it } }
-                    .filter { it.second.ratings >= LEAST_RATINGS }
-            if (fellTogether(rated) { past[it] }) {
+                    .filter { it.second.ratings >= MINIMUM_RATINGS }
+            if (droppedTogether(rated) { past[it] }) {
                 distrusted += bucket
             } else {
                 rated.forEach { (subject, tally) -> past.merge(subject, tally, Tally::plus) }
@@ -35,26 +39,27 @@
         return distrusted
     }
 
-    /** Whether the ratings of a [window] may count against versions, given their [past]. */
+    /** Whether the ratings in [window] are trusted, compared with those of the [past] buckets. */
     public fun trustsRatings(
         window: Map<EvidenceSubject, Tally>,
         evidence: EvidenceTotals,
         past: LongRange,
     ): Boolean {
-        val rated = window.toList().filter { it.second.ratings >= LEAST_WINDOW_RATINGS }
-        return !fellTogether(rated) { evidence.sum(it, past) }
+        val rated = window.toList().filter { it.second.ratings >= MINIMUM_WINDOW_RATINGS }
+        return !droppedTogether(rated) { evidence.sum(it, past) }
     }
 
-    private fun fellTogether(
+    private fun droppedTogether(
         rated: List<Pair<EvidenceSubject, Tally>>,
         past: (EvidenceSubject) -> Tally?,
     ): Boolean {
-        val fell = HashMap<ModelVersionId, Boolean>()
+        val dropByVersion = HashMap<ModelVersionId, Boolean>()
         for ((subject, tally) in rated) {
-            val before = past(subject)?.takeIf { it.ratings >= LEAST_RATINGS } ?: continue
-            fell.merge(subject.version, mean(tally) < mean(before) - DROP, Boolean::or)
+            val before = past(subject)?.takeIf { it.ratings >= MINIMUM_RATINGS } ?: continue
+            dropByVersion.merge(subject.version, mean(tally) < mean(before) - DROP_THRESHOLD, Boolean::or)
         }
-        return fell.size >= LEAST_VERSIONS && fell.values.count { it } > fell.size * SUSPICIOUS_SHARE
+        return dropByVersion.size >= MINIMUM_VERSIONS &&
+            dropByVersion.values.count { it } > dropByVersion.size * SUSPICIOUS_SHARE
     }
 
     private fun mean(tally: Tally): Double = tally.ratingSum / tally.ratings
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RecentWindows.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RecentWindows.kt
@@ -5,47 +5,47 @@
 import dev.almondhaven.decision.choice.Tally
 
 /**
- * The evidence of the last seconds and minutes, as it came in at this router. Windows restart at several periods, so
- * that a version that turns bad is not measured by the good time before. They are kept of the fleet's evidence and of the
- * router's own: other routers' readings come late in a large fleet and would thin out what is seen here at once. Not safe
- * for use by several threads.
+ * Evidence that this router received in the last seconds and minutes. There are windows of several lengths, which
+ * restart periodically, so that the good time before a version turned bad doesn't mask the change. Evidence of the
+ * whole fleet and the router's own have separate windows: in a large fleet the tallies of other routers arrive late
+ * and would dilute what the router observes itself at once. Not thread-safe.
  */
 public class RecentWindows(
     private val pool: EvidencePool,
 ) {
-    private val pooled = PERIODS_MILLIS.map { Mark(it) }
-    private val own = PERIODS_MILLIS.map { Mark(it) }
+    private val fleet = PERIODS_MILLIS.map { RotatingWindow(it) }
+    private val own = PERIODS_MILLIS.map { RotatingWindow(it) }
 
-    /** Restarts the windows whose period is over at [epochMillis]. */
+    /** Restarts the windows whose period has elapsed at [epochMillis]. */
     public fun advance(epochMillis: Long) {
-        pooled.forEach { it.advance(pool.cumulative, epochMillis) }
+        fleet.forEach { it.advance(pool.cumulative, epochMillis) }
         own.forEach { it.advance(pool.ownCumulative, epochMillis) }
     }
 
-    /** What has come in since the start of each window, by subject. */
+    /** Tallies by subject of the evidence received in each window: first the fleet's windows, then the router's own. */
     public fun windows(): List<Map<EvidenceSubject, Tally>> =
-        pooled.map { it.since(pool.cumulative) } + own.map { it.since(pool.ownCumulative) }
+        fleet.map { it.since(pool.cumulative) } + own.map { it.since(pool.ownCumulative) }
 
-    /** A window that is between one and two [period]s long. */
-    private class Mark(
+    /** A window whose length is between one and two times [period]. */
+    private class RotatingWindow(
         private val period: Long,
     ) {
-        private var startedAt = Long.MIN_VALUE
-        private var start = emptyMap<EvidenceSubject, Tally>()
-        private var next = emptyMap<EvidenceSubject, Tally>()
+        private var rotatedAt = Long.MIN_VALUE
+        private var baseline = emptyMap<EvidenceSubject, Tally>()
+        private var nextBaseline = emptyMap<EvidenceSubject, Tally>()
 
         fun advance(
-            arrived: Map<EvidenceSubject, Tally>,
+            cumulative: Map<EvidenceSubject, Tally>,
             epochMillis: Long,
         ) {
-            if (startedAt != Long.MIN_VALUE && epochMillis - startedAt < period) return
-            startedAt = epochMillis
-            start = next
-            next = HashMap(arrived)
+            if (rotatedAt != Long.MIN_VALUE && epochMillis - rotatedAt < period) return
+            rotatedAt = epochMillis
+            baseline = nextBaseline
+            nextBaseline = HashMap(cumulative)
         }
 
-        fun since(arrived: Map<EvidenceSubject, Tally>): Map<EvidenceSubject, Tally> =
-            arrived.mapValues { (subject, tally) -> start[subject]?.let { tally - it } ?: tally }
+        fun since(cumulative: Map<EvidenceSubject, Tally>): Map<EvidenceSubject, Tally> =
+            cumulative.mapValues { (subject, tally) -> baseline[subject]?.let { tally - it } ?: tally }
     }
 
     private companion object {
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RollOutReport.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/RollOutReport.kt
@@ -7,9 +7,10 @@
 import kotlinx.serialization.Serializable
 
 /**
- * How far the roll-out of one version is.
+ * Progress of the roll-out of one version.
  *
- * @property share part of new sessions that start on it at this moment; 0 in quarantine.
+ * @property share share of new sessions that currently start on the version; 0 in quarantine.
+ * @property halted whether the version is in quarantine.
  */
 @Serializable
 public data class RollOutProgress(
@@ -20,9 +21,9 @@
 )
 
 /**
- * What a router tells operators about roll-outs and bad versions.
+ * A router's report to operators on roll-outs and quarantines.
  *
- * @property ratingsDistrusted whether ratings are being left out because most versions' fell at once.
+ * @property ratingsDistrusted whether ratings are currently ignored because those of most versions dropped at once.
  */
 @Serializable
 public data class RollOutReport(
@@ -31,10 +32,10 @@
     public val ratingsDistrusted: Boolean = false,
 ) {
     public companion object {
-        /** Path of the peer protocol that answers with the report. */
+        /** Path in the peer protocol that returns the report. */
         public const val PEER_PATH: String = "roll-outs"
 
-        /** The report on [catalogue] at [epochMillis]. */
+        /** The report for [catalogue] at [epochMillis]. */
         public fun of(
             catalogue: Catalogue,
             quarantines: QuarantineSet,
--- a/decision/src/main/kotlin/dev/almondhaven/decision/rollout/VersionTrial.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/rollout/VersionTrial.kt
@@ -11,11 +11,11 @@
 import kotlin.math.ln
 
 /**
- * Bounds on false alarms.
+ * Upper bounds on the probability of false alarms.
  *
- * @property rollOutFalseAlarm probability that a roll-out of a version no worse than its limits is ever stopped.
- * @property windowFalseAlarm probability that a version in service that stays as it was is stopped in one window.
- * @property routers routers that test on views of their own; the bounds hold over all of them together.
+ * @property rollOutFalseAlarm probability that the roll-out of a version within its limits is ever stopped.
+ * @property windowFalseAlarm probability that an unchanged version in service is quarantined in one window.
+ * @property routers number of routers that each test their own evidence; the bounds hold for all of them together.
  */
 public data class TrialLimits(
     public val rollOutFalseAlarm: Double = DEFAULT_ROLL_OUT_FALSE_ALARM,
@@ -31,7 +31,7 @@
 /**
  * Evidence of the last seconds or minutes.
  *
- * @property ratingsTrusted whether its ratings count.
+ * @property ratingsTrusted whether the ratings in the window may count against a version.
  */
 public class TrialWindow(
     public val tallies: Map<EvidenceSubject, Tally>,
@@ -40,14 +40,15 @@
 
 /**
  * Tests a version's error rate, latency and ratings against its predecessor during the roll-out and against its own
- * past afterwards. Every test is always valid, so it may be run on each change of the evidence.
+ * past in service. The tests are sequential and stay valid under repeated checks, so they may run on every change of
+ * the evidence.
  */
 public class VersionTrial(
     private val limits: TrialLimits,
 ) {
     /**
-     * The strongest evidence that [version] is bad beyond its limits, or null as long as there isn't enough. Its own past
-     * is compared with each of the [recent] windows.
+     * The strongest evidence that [version] exceeds its limits, or null if there isn't enough. Each of the [recent]
+     * windows is compared with the version's own past.
      */
     public fun evaluate(
         version: ModelVersion,
@@ -56,133 +57,149 @@
         recent: List<TrialWindow>,
         epochMillis: Long,
     ): TrialEvidence? {
-        val now = EvidencePool.bucketOf(epochMillis)
-        val inService = recent.flatMap { inServiceFindings(version, evidence, it, now) }
-        val findings = rollOutFindings(version, predecessor, evidence, now) + inService
-        return findings.filter { it.logEvidence > it.threshold }.maxByOrNull { it.logEvidence - it.threshold }
+        val currentBucket = EvidencePool.bucketOf(epochMillis)
+        val inService = recent.flatMap { inServiceResults(version, evidence, it, currentBucket) }
+        val results = rollOutResults(version, predecessor, evidence, currentBucket) + inService
+        return results.filter { it.logEvidence > it.threshold }.maxByOrNull { it.logEvidence - it.threshold }
     }
 
-    private fun rollOutFindings(
+    private fun rollOutResults(
         version: ModelVersion,
         predecessor: ModelVersion?,
         evidence: EvidenceTotals,
-        now: Long,
+        currentBucket: Long,
     ): List<TrialEvidence> {
         val rollOut = version.rollOut ?: return emptyList()
         predecessor ?: return emptyList()
-        val during = EvidencePool.bucketOf(rollOut.startedAt)..now
+        val rollOutBuckets = EvidencePool.bucketOf(rollOut.startedAt)..currentBucket
         val classes = evidence.taskClasses(version.id, version.definedIn)
         val threshold = threshold(limits.rollOutFalseAlarm, classes.size)
         return classes.flatMap { taskClass ->
-            val candidate = evidence.sum(subject(version, taskClass), during)
-            val reference = evidence.sum(subject(predecessor, taskClass), during)
-            findings(candidate, reference, rollOut, TrialReference.PREDECESSOR, threshold)
+            val candidate = evidence.sum(subject(version, taskClass), rollOutBuckets)
+            val reference = evidence.sum(subject(predecessor, taskClass), rollOutBuckets)
+            results(candidate, reference, rollOut, TrialReference.PREDECESSOR, threshold)
         }
     }
 
-    private fun inServiceFindings(
+    private fun inServiceResults(
         version: ModelVersion,
         evidence: EvidenceTotals,
         recent: TrialWindow,
-        now: Long,
+        currentBucket: Long,
     ): List<TrialEvidence> {
-        val past = pastBuckets(now)
+        val past = pastBuckets(currentBucket)
         val margins = version.rollOut ?: IN_SERVICE_MARGINS
         val classes = evidence.taskClasses(version.id, version.definedIn)
         val threshold = threshold(limits.windowFalseAlarm, classes.size)
-        val findings =
+        val results =
             classes.flatMap { taskClass ->
                 val subject = subject(version, taskClass)
                 val candidate = recent.tallies[subject] ?: Tally.EMPTY
-                findings(candidate, evidence.sum(subject, past), margins, TrialReference.OWN_PAST, threshold)
+                results(candidate, evidence.sum(subject, past), margins, TrialReference.OWN_PAST, threshold)
             }
-        return if (recent.ratingsTrusted) findings else findings.filterNot { it.measure == TrialMeasure.RATINGS }
+        return if (recent.ratingsTrusted) results else results.filterNot { it.measure == TrialMeasure.RATINGS }
     }
 
-    private fun findings(
+    private fun results(
         candidate: Tally,
         reference: Tally,
         margins: RollOut,
-        kind: TrialReference,
+        referenceKind: TrialReference,
         threshold: Double,
     ): List<TrialEvidence> {
         if (reference.requests == 0L || candidate.requests == 0L) return emptyList()
         return listOf(
-            increase(
+            testIncrease(
                 TrialMeasure.ERROR_RATE,
                 Sample(candidate.requests, candidate.errors.toDouble()),
                 Sample(reference.requests, reference.errors.toDouble()),
                 margins.maximumErrorIncrease,
-                kind,
+                referenceKind,
                 threshold,
             ),
-            increase(
+            testIncrease(
                 TrialMeasure.RATINGS,
-                lostQuality(candidate),
-                lostQuality(reference),
+                qualityLoss(candidate),
+                qualityLoss(reference),
                 margins.maximumQualityLoss,
-                kind,
+                referenceKind,
                 threshold,
             ),
-            latency(candidate, reference, margins, kind, threshold),
-            lowRatings(candidate, reference, margins, kind, threshold),
+            testLatency(candidate, reference, margins, referenceKind, threshold),
+            testLowRatings(candidate, reference, margins, referenceKind, threshold),
         )
     }
 
-    private fun increase(
+    private fun testIncrease(
         measure: TrialMeasure,
         candidate: Sample,
         reference: Sample,
         margin: Double,
-        kind: TrialReference,
+        referenceKind: TrialReference,
         threshold: Double,
     ): TrialEvidence {
         val logEvidence = MixtureTest.logEvidenceOfIncrease(candidate, reference, margin)
-        return evidence(measure, kind, logEvidence, threshold, candidate, reference)
+        return trialEvidence(measure, referenceKind, logEvidence, threshold, candidate, reference)
     }
 
     /**
-     * If the version were at most `maximumLatencyRatio` times as slow, at most as large a share of its answers would be
-     * slower than that multiple of a band as the reference has above the band.
+     * Compares the share of answers above a latency band. A version that is at most `maximumLatencyRatio` times as
+     * slow as the reference has no larger share of answers above that multiple of a band than the reference has above
+     * the band.
      */
-    private fun latency(
+    private fun testLatency(
         candidate: Tally,
         reference: Tally,
         margins: RollOut,
-        kind: TrialReference,
+        referenceKind: TrialReference,
         threshold: Double,
     ): TrialEvidence {
-        val usual = reference.latencyQuantileBand(USUAL_SHARE)
-        val slowBand = usual + 1 + Tally.latencyBandsSpanned(margins.maximumLatencyRatio)
+        val referenceBand = reference.latencyQuantileBand(REFERENCE_QUANTILE)
+        val slowBand = referenceBand + 1 + Tally.latencyBandsSpanned(margins.maximumLatencyRatio)
         val slow = if (slowBand >= Tally.LATENCY_BANDS) 0 else candidate.slowerThan(slowBand)
         val candidateSample = Sample(candidate.timedRequests, slow.toDouble())
-        val referenceSample = Sample(reference.timedRequests, reference.slowerThan(usual + 1).toDouble())
-        return increase(TrialMeasure.LATENCY, candidateSample, referenceSample, QUANTILE_MARGIN, kind, threshold)
+        val referenceSample = Sample(reference.timedRequests, reference.slowerThan(referenceBand + 1).toDouble())
+        return testIncrease(
+            TrialMeasure.LATENCY,
+            candidateSample,
+            referenceSample,
+            QUANTILE_MARGIN,
+            referenceKind,
+            threshold,
+        )
     }
 
     /**
-     * If the version's ratings were lower by `maximumQualityLoss` at most, at most as large a share of them would lie
-     * that far below a band as the reference has below it. Finds a shift of all ratings on far fewer than the mean does.
+     * Compares the share of ratings below a rating band. A version whose ratings are lower by at most
+     * `maximumQualityLoss` has no larger share of them that far below a band than the reference has below the band.
+     * This detects a shift of all ratings with far fewer ratings than a comparison of means needs.
      */
-    private fun lowRatings(
+    private fun testLowRatings(
         candidate: Tally,
         reference: Tally,
         margins: RollOut,
-        kind: TrialReference,
+        referenceKind: TrialReference,
         threshold: Double,
     ): TrialEvidence {
-        val usual = reference.ratingQuantileBand(USUAL_SHARE)
-        val lowBand = usual - 1 - Tally.ratingBandsSpanned(margins.maximumQualityLoss)
+        val referenceBand = reference.ratingQuantileBand(REFERENCE_QUANTILE)
+        val lowBand = referenceBand - 1 - Tally.ratingBandsSpanned(margins.maximumQualityLoss)
         val low = if (lowBand < 0) 0 else candidate.ratedAtMost(lowBand)
         val candidateSample = Sample(candidate.ratings, low.toDouble())
-        val usuallyLow = if (usual == 0) 0 else reference.ratedAtMost(usual - 1)
-        val referenceSample = Sample(reference.ratings, usuallyLow.toDouble())
-        return increase(TrialMeasure.RATINGS, candidateSample, referenceSample, QUANTILE_MARGIN, kind, threshold)
+        val lowInReference = if (referenceBand == 0) 0 else reference.ratedAtMost(referenceBand - 1)
+        val referenceSample = Sample(reference.ratings, lowInReference.toDouble())
+        return testIncrease(
+            TrialMeasure.RATINGS,
+            candidateSample,
+            referenceSample,
+            QUANTILE_MARGIN,
+            referenceKind,
+            threshold,
+        )
     }
 
-    private fun evidence(
+    private fun trialEvidence(
         measure: TrialMeasure,
-        kind: TrialReference,
+        referenceKind: TrialReference,
         logEvidence: Double,
         threshold: Double,
         candidate: Sample,
@@ -190,7 +207,7 @@
     ): TrialEvidence =
         TrialEvidence(
             measure,
-            kind,
+            referenceKind,
             logEvidence,
             threshold,
             candidate.count,
@@ -199,7 +216,7 @@
             reference.mean,
         )
 
-    private fun lostQuality(tally: Tally): Sample =
+    private fun qualityLoss(tally: Tally): Sample =
         Sample(tally.ratings, (tally.ratings - tally.ratingSum).coerceIn(0.0, tally.ratings.toDouble()))
 
     private fun subject(
@@ -207,24 +224,25 @@
         taskClass: TaskClass,
     ): EvidenceSubject = EvidenceSubject(version.id, version.definedIn, taskClass)
 
-    /** By the union bound over measures, task classes and routers. */
+    /** Threshold of the log evidence, by the union bound over measures, task classes and routers. */
     private fun threshold(
         falseAlarm: Double,
         classes: Int,
     ): Double = ln(TESTS_PER_CLASS * maxOf(1, classes) * maxOf(1, limits.routers) / falseAlarm)
 
     public companion object {
-        /** The newest buckets, which a version's past doesn't include. */
+        /** Number of the newest buckets, which are not part of a version's past. */
         private const val RECENT_BUCKETS = 2
 
-        /** Buckets of its own past that a version is compared with: a day. */
+        /** Number of buckets in the past that a version is compared with: one day. */
         private const val PAST_BUCKETS = 144
 
-        /** The buckets that count as a version's past in bucket [now]. */
-        public fun pastBuckets(now: Long): LongRange = (now - RECENT_BUCKETS - PAST_BUCKETS + 1)..(now - RECENT_BUCKETS)
+        /** The buckets of a version's past, as seen from bucket [currentBucket]. */
+        public fun pastBuckets(currentBucket: Long): LongRange =
+            (currentBucket - RECENT_BUCKETS - PAST_BUCKETS + 1)..(currentBucket - RECENT_BUCKETS)
 
         private const val TESTS_PER_CLASS = 4.0
-        private const val USUAL_SHARE = 0.75
+        private const val REFERENCE_QUANTILE = 0.75
         private const val QUANTILE_MARGIN = 0.05
 
         private val IN_SERVICE_MARGINS =
--- a/decision/src/test/kotlin/dev/almondhaven/decision/rollout/MixtureTestTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/rollout/MixtureTestTest.kt
@@ -34,29 +34,29 @@
     }
 
     @Nested
-    inner class `looking after every observation` {
+    inner class `a check after every observation` {
         @Test
-        fun `rejects a rate at the margin no more often than the bound says`() {
+        fun `rejects a rate at the margin no more often than alpha allows`() {
             val rejections = (1L..400L).count { everRejects(it, REFERENCE + MARGIN, REFERENCE, 1_000) }
 
             expectThat(rejections).isLessThanOrEqualTo((400 * ALPHA).toInt())
         }
 
         @Test
-        fun `finds a rate far above the margin`() {
-            val found = (1L..50L).count { everRejects(it, 0.3, REFERENCE, 200) }
+        fun `detects a rate far above the margin`() {
+            val detections = (1L..50L).count { everRejects(it, 0.3, REFERENCE, 200) }
 
-            expectThat(found).isEqualTo(50)
+            expectThat(detections).isEqualTo(50)
         }
     }
 
     @Test
-    fun `nothing speaks against equal samples`() {
+    fun `equal samples yield no evidence`() {
         expectThat(MixtureTest.logEvidenceOfIncrease(Sample(50, 5.0), Sample(50, 5.0), 0.0)).isEqualTo(0.0)
     }
 
     @Test
-    fun `more of the same speaks louder`() {
+    fun `larger samples with the same means yield more evidence`() {
         val few = MixtureTest.logEvidenceOfIncrease(Sample(50, 20.0), Sample(50, 5.0), 0.02)
         val many = MixtureTest.logEvidenceOfIncrease(Sample(500, 200.0), Sample(500, 50.0), 0.02)
 
--- a/decision/src/test/kotlin/dev/almondhaven/decision/rollout/QuarantineSetTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/rollout/QuarantineSetTest.kt
@@ -53,21 +53,21 @@
     @Nested
     inner class `a quarantine` {
         @Test
-        fun `takes its version away`() {
+        fun `excludes its version`() {
             val set = QuarantineSet.of(listOf(quarantine(1)))
 
             expectThat(set.usable(versions)).containsExactly(versions[0], versions[2], versions[3])
         }
 
         @Test
-        fun `leaves the version with the least evidence against it when all are in quarantine`() {
+        fun `leaves the version with the least evidence against it if all are in quarantine`() {
             val set = QuarantineSet.of((0..3).map { quarantine(it, logEvidence = 20.0 - it) })
 
             expectThat(set.usable(versions)).containsExactly(versions[3])
         }
 
         @Test
-        fun `ends with a newer note about its version`() {
+        fun `ends when a newer note redefines its version`() {
             val set = QuarantineSet.of(listOf(quarantine(1)))
             val redefined = versions[1].copy(definedIn = Generation(4))
 
@@ -77,7 +77,7 @@
         }
 
         @Test
-        fun `of a note that is still on its way is kept`() {
+        fun `of a definition that has not arrived yet is kept`() {
             val set = QuarantineSet.of(listOf(quarantine(1)))
 
             expectThat(set.withoutSuperseded { Generation(2) }).isEqualTo(set)
--- a/decision/src/test/kotlin/dev/almondhaven/decision/rollout/RollOutAssignmentTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/rollout/RollOutAssignmentTest.kt
@@ -18,7 +18,7 @@
     private val keys = (1..2_000).map { "session-$it" }
 
     @Test
-    fun `goes through its stages and then takes all`() {
+    fun `the share follows the steps and then reaches all sessions`() {
         val minutes = listOf(-1L, 0L, 9L, 10L, 29L, 30L)
 
         expectThat(minutes.map { RollOutAssignment.share(new.rollOut!!, 1_000 + it * 60_000) })
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `takes about its share of the sessions, and keeps those it has`() {
+    fun `a version is assigned about its share of the sessions and keeps them`() {
         val first = keys.filter { RollOutAssignment.includes(new, it, 2_000) }
         val second = keys.filter { RollOutAssignment.includes(new, it, 1_000 + 15 * 60_000) }
 
@@ -35,12 +35,12 @@
     }
 
     @Test
-    fun `leaves each session one of the two versions`() {
+    fun `each session may use exactly one of the two versions`() {
         expectThat(keys.map { RollOutAssignment.eligible(listOf(old, new), it, 2_000).size }.toSet()).containsExactly(1)
     }
 
     @Test
-    fun `leaves the new version to an organisation that may not use the old one`() {
+    fun `an organisation that may not use the old version always gets the new one`() {
         expectThat(RollOutAssignment.eligible(listOf(new), keys.first(), 0)).containsExactly(new)
     }
 }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/rollout/TrialSimulation.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/rollout/TrialSimulation.kt
@@ -13,14 +13,14 @@
 import dev.almondhaven.model.VersionId
 import org.apache.commons.rng.simple.RandomSource
 
-/** How a fake version behaves. */
+/** Behaviour of a simulated version. */
 internal data class Behaviour(
     val errorRate: Double = 0.02,
     val millisecondsPerToken: Double = 20.0,
     val quality: Double = 0.85,
 )
 
-/** A roll-out of `new` against `old` in virtual time, with a policy that looks after every second. */
+/** Simulates a roll-out of [new] as successor of [old] in virtual time. */
 internal class TrialSimulation(
     seed: Long,
     private val limits: TrialLimits = TrialLimits(),
@@ -40,7 +40,7 @@
     private var quarantines = QuarantineSet.EMPTY
     private var now = START
 
-    /** [count] requests on [version], one in [ratedEvery] rated. */
+    /** Runs [count] requests on [version], of which on average one in [ratedEvery] is rated. */
     fun serve(
         version: ModelVersion,
         behaviour: Behaviour,
@@ -50,8 +50,8 @@
         val subject = EvidenceSubject(version.id, version.definedIn, TaskClassifier.QUERY)
         repeat(count) {
             val failed = random.nextDouble() < behaviour.errorRate
-            val pace = behaviour.millisecondsPerToken * (0.6 + 0.8 * random.nextDouble())
-            pool.record(subject, now) { it.plusRequest(failed, pace, null) }
+            val millisecondsPerToken = behaviour.millisecondsPerToken * (0.6 + 0.8 * random.nextDouble())
+            pool.record(subject, now) { it.plusRequest(failed, millisecondsPerToken, null) }
             if (random.nextInt(ratedEvery) == 0) {
                 val rating = (behaviour.quality + 0.3 * (random.nextDouble() - 0.5)).coerceIn(0.0, 1.0)
                 pool.record(subject, now) { it.plusRating(rating, null) }
@@ -59,8 +59,11 @@
         }
     }
 
-    /** A second passes and the policy looks; the versions in quarantine by then. */
-    fun look(
+    /**
+     * Advances the time by [seconds] and applies the policy; returns the versions of [inService] that are in
+     * quarantine.
+     */
+    fun evaluate(
         vararg inService: ModelVersion,
         seconds: Long = 1,
     ): Set<ModelVersion> {
@@ -75,7 +78,7 @@
         return inService.filter { quarantines.contains(it) }.toSet()
     }
 
-    /** What the quarantine of [version] rests on. */
+    /** The measure because of which [version] is in quarantine, or null. */
     fun measure(version: ModelVersion): TrialMeasure? = quarantines.find(version)?.evidence?.measure
 
     companion object {
