--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudgetTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/SlidingRetryBudgetTest.kt
@@ -97,7 +97,7 @@
                     retriesGranted { window.trySpend(it, share = 0.8) },
                     retriesGranted {
                         bucket.available >= 3 &&
-                            bucket.tryRetry()
+                            bucket.trySpend()
                     },
                 ),
             ).isEqualTo(listOf(12, 3))
--- a/router/src/main/kotlin/dev/almondhaven/router/Router.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/Router.kt
@@ -12,34 +12,34 @@
 import dev.almondhaven.decision.rollout.RollOutReport
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
-import dev.almondhaven.router.billing.Billing
-import dev.almondhaven.router.billing.BillingTap
-import dev.almondhaven.router.claim.Claims
-import dev.almondhaven.router.claim.RepeatOutcomeFilter
+import dev.almondhaven.router.billing.BillingController
+import dev.almondhaven.router.billing.BillingRecorder
+import dev.almondhaven.router.claim.ClaimModule
+import dev.almondhaven.router.claim.IdempotencyOutcomeFilter
 import dev.almondhaven.router.controller.CatalogueHolder
 import dev.almondhaven.router.controller.ConfigurationWatcher
-import dev.almondhaven.router.controller.guardedObjects
+import dev.almondhaven.router.controller.guardedObjectStore
+import dev.almondhaven.router.endpoint.AdmissionQueue
 import dev.almondhaven.router.endpoint.Dispatcher
 import dev.almondhaven.router.endpoint.EndpointClients
 import dev.almondhaven.router.endpoint.EndpointDirectory
 import dev.almondhaven.router.endpoint.LoadReportPoller
-import dev.almondhaven.router.endpoint.WaitingRoom
 import dev.almondhaven.router.filter.AdmissionFilter
-import dev.almondhaven.router.filter.ConfigurationAgeFilter
-import dev.almondhaven.router.filter.DomainServiceFilter
+import dev.almondhaven.router.filter.AuthenticationFilter
 import dev.almondhaven.router.filter.EndpointChoiceFilter
-import dev.almondhaven.router.filter.IdentifyFilter
 import dev.almondhaven.router.filter.ModelListFilter
+import dev.almondhaven.router.filter.OutOfServiceDomainFilter
 import dev.almondhaven.router.filter.ParseFilter
 import dev.almondhaven.router.filter.RequestHandler
 import dev.almondhaven.router.filter.RetryFilter
+import dev.almondhaven.router.filter.StaleConfigurationFilter
 import dev.almondhaven.router.filter.filterChain
 import dev.almondhaven.router.limit.UsageLimiter
 import dev.almondhaven.router.order.EngineOrderController
 import dev.almondhaven.router.peer.PeerController
 import dev.almondhaven.router.peer.PeerNetwork
 import dev.almondhaven.router.peer.StatusReporter
-import dev.almondhaven.router.session.Sessions
+import dev.almondhaven.router.session.SessionModule
 import dev.almondhaven.router.settings.PeerSettings
 import dev.almondhaven.router.settings.RouterSettings
 import dev.almondhaven.router.settings.socketAddress
@@ -74,20 +74,20 @@
     private val workers = EndpointClients.newWorkers(Runtime.getRuntime().availableProcessors())
     private val clients = EndpointClients(workers, settings.endpoints.connectTimeout, settings.endpoints.pingInterval)
     private val peers = PeerNetwork.open(settings.peers, settings.process.failureDomain)
-    private val objects = guardedObjects(platform, settings.platform, clock, metrics) { peers.view.members.size }
-    private val sessions = Sessions(settings.sessions, peers)
+    private val objects = guardedObjectStore(platform, settings.platform, clock, metrics) { peers.view.members.size }
+    private val sessions = SessionModule(settings.sessions, peers)
     private val directory = EndpointDirectory(holder, peers.view, clock)
-    private val waitingRoom = WaitingRoom(clock)
+    private val admissionQueue = AdmissionQueue(clock)
     private val limiter = UsageLimiter(holder, peers.view, clock)
     private val loadReports = LoadReportPoller(directory, clients, clock, settings.endpoints.statusInterval)
     private val peerController = settings.peers?.let { PeerController(peers, it, holder, freshness, clock) }
     private val watcher =
         ConfigurationWatcher(objects, holder, freshness, peers.view, settings.platform.watchWait, newRandom())
     private val status = StatusReporter(peers, holder, freshness, clock, Lifecycle())
-    private val billing = Billing(settings.billing, objects, clock, peers, metrics)
-    private val claims = Claims(settings.claims, objects, clock, peers)
+    private val billing = BillingController(settings.billing, objects, clock, peers, metrics)
+    private val claims = ClaimModule(settings.claims, objects, clock, peers)
     private val choice =
-        ModelChoice(holder, peers.self.id, settings.choice, clock, routers = { peers.view.members.size })
+        ModelSelectionModule(holder, peers.self.id, settings.choice, clock, routers = { peers.view.members.size })
     private val engineOrders = EngineOrderController(settings.engineOrders, holder, peers.view, objects, clock)
     private val server = buildServer()
 
@@ -109,9 +109,9 @@
     private fun start() {
         addGauges()
         peers.topics.register(limiter.gossip)
-        clients.whenConnectionCloses { address ->
+        clients.onConnectionClosed { address ->
             directory.recordConnectionLost(address)
-            loadReports.pollSoon(address)
+            loadReports.pollNow(address)
         }
         watcher.start()
         engineOrders.start()
@@ -123,19 +123,28 @@
     }
 
     private fun addGauges() {
-        metrics.gauge("almondhaven_configuration_generation", "Generation in force on this router.") {
+        metrics.registerGauge("almondhaven_configuration_generation", "Generation in force on this router.") {
             holder.generation.value.toDouble()
         }
-        metrics.gauge("almondhaven_configuration_stale_seconds", "Time unconfirmed by the platform; 0 when fresh.") {
+        metrics.registerGauge(
+            "almondhaven_configuration_stale_seconds",
+            "Time unconfirmed by the platform; 0 when fresh.",
+        ) {
             status.staleSince()?.let { (System.currentTimeMillis() - it) / MILLIS_PER_SECOND } ?: 0.0
         }
-        metrics.gauge("almondhaven_platform_reachable", "1 if the platform answered the last configuration call.") {
+        metrics.registerGauge(
+            "almondhaven_platform_reachable",
+            "1 if the platform answered the last configuration call.",
+        ) {
             if (watcher.platformReachable) 1.0 else 0.0
         }
-        metrics.gauge("almondhaven_sessions_remembered", "Sessions known by their id that this router remembers.") {
+        metrics.registerGauge(
+            "almondhaven_sessions_remembered",
+            "Sessions known by their id that this router remembers.",
+        ) {
             sessions.remembered.toDouble()
         }
-        metrics.gauge("almondhaven_peer_members", "Routers in this router's view, itself included.") {
+        metrics.registerGauge("almondhaven_peer_members", "Routers in this router's view, itself included.") {
             peers.view.members.size
                 .toDouble()
         }
@@ -144,10 +153,10 @@
     private fun chain(): RequestHandler =
         filterChain(
             listOf(
-                ConfigurationAgeFilter({ holder.generation }, status::staleSince),
-                RepeatOutcomeFilter,
-                DomainServiceFilter(holder, settings.process.failureDomain),
-                IdentifyFilter(holder),
+                StaleConfigurationFilter({ holder.generation }, status::staleSince),
+                IdempotencyOutcomeFilter,
+                OutOfServiceDomainFilter(holder, settings.process.failureDomain),
+                AuthenticationFilter(holder),
                 ParseFilter(holder),
                 ModelListFilter(holder),
                 sessions.filter(holder),
@@ -155,7 +164,7 @@
                 claims.filter,
                 choice.filter(),
                 RetryFilter(settings.endpoints, clock),
-                EndpointChoiceFilter(directory, waitingRoom, clock),
+                EndpointChoiceFilter(directory, admissionQueue, clock),
             ),
             Dispatcher(
                 holder,
@@ -184,7 +193,7 @@
                 CallerService(
                     chain(),
                     metrics,
-                    BillingTap(holder, billing::offer),
+                    BillingRecorder(holder, billing::offer),
                     settings.requests.requestTimeout,
                     clock,
                 ),
@@ -194,7 +203,7 @@
         holder.configured && !draining && holder.index.inService(settings.process.failureDomain)
 
     private fun metricsResponse(): HttpResponse =
-        HttpResponse.of(HttpStatus.OK, MediaType.PLAIN_TEXT_UTF_8, metrics.text())
+        HttpResponse.of(HttpStatus.OK, MediaType.PLAIN_TEXT_UTF_8, metrics.toPrometheusText())
 
     /** Fails readiness, gives the balancer time to take the router out, and then closes as [close] does. */
     public fun drain() {
@@ -215,7 +224,7 @@
         billing.close()
         watcher.close()
         loadReports.close()
-        waitingRoom.close()
+        admissionQueue.close()
         limiter.close()
         directory.close()
         peers.close()
--- a/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
@@ -14,8 +14,8 @@
 import dev.almondhaven.model.FailureDomainId
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.controller.CatalogueHolder
-import dev.almondhaven.router.controller.DutyThread
 import dev.almondhaven.router.settings.EngineOrderSettings
 import dev.almondhaven.store.ObjectKey
 import dev.almondhaven.store.ObjectStore
@@ -35,16 +35,16 @@
     private val view: FleetView,
     private val objects: ObjectStore,
     private val clock: NanoClock,
-    private val leaseSettings: LeaseSettings = LeaseSettings(longestOrder = settings.callTimeout),
+    private val leaseSettings: LeaseSettings = LeaseSettings(orderLifetime = settings.callTimeout),
 ) : AutoCloseable {
     private val client = EngineClient(settings.callTimeout)
     private val groups = HashMap<FailureDomainId, Group>()
 
     @Volatile
-    private var duty: DutyThread<Unit>? = null
+    private var duty: ActorThread<Unit>? = null
 
     private class Group(
-        val lease: StoredLease,
+        val lease: ObjectStoreLease,
     ) {
         var fencing: Long? = null
         var nextLoadAt = 0L
@@ -53,7 +53,7 @@
     /** Starts the duty if the settings say so. */
     fun start() {
         if (!settings.enabled) return
-        duty = DutyThread.start("engine-orders", RING, settings.interval, onTick = ::tick) { tick() }
+        duty = ActorThread.start("engine-orders", RING, settings.interval, onTick = ::tick) { tick() }
     }
 
     private fun tick() {
@@ -113,7 +113,7 @@
         loadSpacing: Duration,
     ) {
         val fencing = group.lease.fencing() ?: return
-        if (order.loads) group.nextLoadAt = clock.nanos() + loadSpacing.inWholeNanoseconds
+        if (order.startsLoad) group.nextLoadAt = clock.nanos() + loadSpacing.inWholeNanoseconds
         val status = client.order(order.endpoint, EngineOrder(fencing, order.versions)).join()
         val event = if (status == HttpStatus.OK) LogEvent.ENGINE_ORDER_TAKEN else LogEvent.ENGINE_ORDER_FAILED
         event.log(logger) {
@@ -130,7 +130,7 @@
     }
 
     private fun newLease(domain: FailureDomainId) =
-        StoredLease(ObjectKey(key(domain)), view.self.id, leaseSettings, objects, clock)
+        ObjectStoreLease(ObjectKey(key(domain)), view.self.id, leaseSettings, objects, clock)
 
     private fun key(domain: FailureDomainId) = "leases/engine-orders/$domain"
 
