--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Admission.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Admission.kt
@@ -13,14 +13,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Decides whether a request is served at all, by route and key. */
+/** Decides by route and API key whether a request is served. */
 internal class Admission(
     private val context: CallContext,
 ) {
-    /** Whether it is known what is in force; before that every request is turned away. */
+    /** Whether the configuration and the endpoint list are loaded; until then every request is rejected. */
     val isReady: Boolean get() = context.routing.configuration != null && context.routing.hasEndpointList
 
-    /** The call that [request] makes, or the answer that ends it. */
+    /** Returns the admitted call for [request], or the response that rejects it. */
     fun admit(request: CallerRequest): Either<RouterResponse, AdmittedCall> {
         val demand =
             WireCalls.demand { request.headers.get(it) }
@@ -38,28 +38,28 @@
             return notExecuted(id, RETRY_AFTER_START_DELAY, "no configuration yet")
         }
         val route =
-            configuration.route(request.host, request.path) ?: return rejectUnlessStale(NOT_FOUND, id, "no such route")
-        val holder = holderOf(configuration, route, demand.key)
-        if (holder == null && !route.open &&
-            configuration.keys != null
-        ) {
+            configuration.route(request.host, request.path)
+                ?: return rejectUnlessStale(NOT_FOUND, id, "no such route")
+        val holder = keyHolder(configuration, route, demand.key)
+        if (holder == null && !route.open && configuration.keys != null) {
             return rejectUnlessStale(UNAUTHORIZED, id, "unknown key")
         }
-        if (holder != null &&
-            !context.configurationWatcher.isFresh
-        ) {
+        if (holder != null && !context.configurationWatcher.isFresh) {
             return notExecuted(id, RETRY_ELSEWHERE_DELAY, "keys can't be checked")
         }
         return AdmittedCall(request, demand, route, configuration, holder).right()
     }
 
-    private fun holderOf(
+    private fun keyHolder(
         configuration: TrafficConfiguration,
         route: TrafficRoute,
         key: CallerKey?,
     ): KeyHolder? = if (route.open) null else key?.let { configuration.keys?.get(it) }
 
-    /** A router that may have missed a change can't say that a route or key doesn't exist. */
+    /**
+     * Rejects with [status], or with a retryable 503 while the configuration may be stale: a router that may have
+     * missed a change can't say that a route or key doesn't exist.
+     */
     private fun rejectUnlessStale(
         status: Int,
         id: String,
@@ -87,13 +87,16 @@
         const val UNAUTHORIZED = 401
         const val NOT_FOUND = 404
 
-        /** A repeat reaches another router at once. */
+        /** A retry reaches another router at once, so the delay is short. */
         val RETRY_ELSEWHERE_DELAY = 20.milliseconds
 
-        /** A router that has just started has read its configuration by then. */
+        /** By then a router that has just started has loaded its configuration. */
         val RETRY_AFTER_START_DELAY = 500.milliseconds
 
-        /** By then the balancer has seen that the router is not ready; what comes later might not end in time. */
+        /**
+         * After this time the load balancer has seen the failing readiness check; a request that arrives later might
+         * not finish before the process exits.
+         */
         val ACCEPT_WHILE_STOPPING = 3.seconds
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AdmittedCall.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AdmittedCall.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A request that may be served, with what was in force when it came. */
+/** A request that has passed admission, with the configuration that was in force when it arrived. */
 internal class AdmittedCall(
     val request: CallerRequest,
     val demand: CallDemand,
@@ -23,32 +23,38 @@
     val organisation: OrganisationId? get() = holder?.organisation
     val priority: Int get() = holder?.priority ?: route.priority
 
-    /** How long after its arrival the request is given up. */
+    /**
+     * Time from the arrival of the request to its timeout: the route's timeout, or the caller's deadline if that is
+     * sooner.
+     */
     val timeLimit: Duration =
-        minOf(
-            route.timeout,
-            (demand.deadline ?: Duration.INFINITE) - RESPONSE_TRANSIT_TIME,
-        ).coerceAtLeast(Duration.ZERO)
+        minOf(route.timeout, (demand.deadline ?: Duration.INFINITE) - RESPONSE_TRANSIT_TIME)
+            .coerceAtLeast(Duration.ZERO)
 
-    /** The service that takes the call; requests of one session go to one service. */
+    /**
+     * The service that handles the call, drawn by weight from a hash of the session id, or of the request id without a
+     * session; all requests of a session go to the same service.
+     */
     val service: ServiceId = serviceFor(demand.session ?: demand.requestId)
 
     private fun serviceFor(key: String): ServiceId {
-        val all = route.services
+        val candidates = route.services
         val hash =
             Hashing
                 .farmHashFingerprint64()
                 .hashUnencodedChars(key)
                 .asLong()
                 .mod(HASH_BUCKETS)
-        var point = hash.toDouble() / HASH_BUCKETS * all.sumOf { it.weight }
-        return (all.firstOrNull { part -> (point < part.weight).also { point -= part.weight } } ?: all.last()).service
+        var point = hash.toDouble() / HASH_BUCKETS * candidates.sumOf { it.weight }
+        val drawn =
+            candidates.firstOrNull { candidate -> (point < candidate.weight).also { point -= candidate.weight } }
+        return (drawn ?: candidates.last()).service
     }
 
     private companion object {
         const val HASH_BUCKETS = 10_000L
 
-        /** An answer needs some time to reach the caller before its deadline. */
+        /** Time reserved for the response to reach the caller before its deadline. */
         val RESPONSE_TRANSIT_TIME = 15.milliseconds
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
@@ -22,10 +22,10 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * One attempt of an [Exchange] at one endpoint: sends the request, judges the answer and reports to the exchange, at most
- * once with how it ended. Lives on the event loop.
+ * One attempt of an [Exchange] at one endpoint: sends the request, checks the response and reports to the exchange at
+ * most once how it ended. Must be used on the event loop only.
  *
- * @property model the model that is asked; null for plain services and where the caller named one.
+ * @property model the model that is requested; null for plain services and where the caller named one.
  */
 internal class Attempt(
     private val context: CallContext,
@@ -34,7 +34,25 @@
     val endpoint: EndpointHandle,
     val model: String?,
 ) : OutboundListener {
-    private enum class Stage { WAITING, EVENTS, WHOLE, FAILURE, STATED_NOT_RUN, SETTLED }
+    private enum class Stage {
+        /** No usable response head has arrived. */
+        WAITING,
+
+        /** A stream of server-sent events is passed on. */
+        EVENTS,
+
+        /** A unary response is buffered. */
+        WHOLE,
+
+        /** An error response is buffered. */
+        FAILURE,
+
+        /** The endpoint states that it has not executed the request. */
+        STATED_NOT_RUN,
+
+        /** The attempt has ended; further callbacks are ignored. */
+        SETTLED,
+    }
 
     private val endpointState = endpoint.state
     private val startedAt = context.clock.nanos()
@@ -50,7 +68,7 @@
     private var lastEventAt = 0L
     private var isSuspect = false
 
-    /** Milliseconds from the start to the first usable sign of an answer; null before it. */
+    /** Milliseconds from the start of the attempt to the first usable response head; null until it arrives. */
     var firstResponseMillis: Double? = null
         private set
 
@@ -59,14 +77,8 @@
         val now = context.clock.nanos()
         val demand = exchange.selector.placementDemand(call.demand, model ?: call.demand.model)
         if (call.demand.promptTokens > 0) {
-            uncachedTokens =
-                (
-                    demand.promptTokens -
-                        endpointState.cache.tokensHeld(
-                            demand.model,
-                            demand.promptParts,
-                        )
-                ).coerceAtLeast(0)
+            val cachedTokens = endpointState.cache.tokensHeld(demand.model, demand.promptParts)
+            uncachedTokens = (demand.promptTokens - cachedTokens).coerceAtLeast(0)
             prefillMillis = endpointState.speed.millis(demand.model, uncachedTokens)
             endpointState.cache.read(demand.model, demand.promptParts)
         }
@@ -89,12 +101,12 @@
                 resumeAfter = resumeAfter,
                 urgency = if (call.demand.promptTokens > 0) urgency() else null,
             )
-        val sent = WireCalls.toEndpoint(call.request.headers, terms)
+        val requestHeaders = WireCalls.toEndpoint(call.request.headers, terms)
         val maxIdle = if (call.route.repeatable) Duration.INFINITE else MAX_IDLE_NON_RETRYABLE
         context.watchdog.watch(this)
         outbound =
             endpoint.pool.send(
-                OutboundRequest(call.request.method, call.request.target, sent, call.request.body),
+                OutboundRequest(call.request.method, call.request.target, requestHeaders, call.request.body),
                 this,
                 maxIdle,
             )
@@ -103,7 +115,7 @@
 
     private fun urgency(): Int = (TOP_PRIORITY_URGENCY + call.priority).coerceIn(0, LOWEST_URGENCY)
 
-    /** Ends the work at the endpoint; the exchange hears nothing more. */
+    /** Cancels the request at the endpoint without reporting an outcome to the exchange. */
     fun cancel() {
         if (stage == Stage.SETTLED) return
         settle()
@@ -121,7 +133,7 @@
         val signals = WireCalls.signs(status) { headers.get(it) }
         if (signals.requestId != null && signals.requestId != call.id) {
             LogEvent.ENDPOINT_ANSWER_BAD.log(logger) {
-                "request=${call.id} endpoint=${endpointState.listing.id} answer of ${signals.requestId}"
+                "request=${call.id} endpoint=${endpointState.listing.id} response to ${signals.requestId}"
             }
             return HeadAction.SKIP
         }
@@ -162,11 +174,7 @@
         recordFirstResponse()
         endPrefill()
         firstResponseMillis?.let {
-            endpointState.speed.observed(
-                model ?: call.demand.model.orEmpty(),
-                uncachedTokens,
-                it,
-            )
+            endpointState.speed.observed(model ?: call.demand.model.orEmpty(), uncachedTokens, it)
         }
         val larger = exchange.chooseLargerModel(this, signals.confidence)
         if (larger != null) {
@@ -189,19 +197,19 @@
     private fun prefillKey(): String = "${call.id}/$model"
 
     override fun onContent(bytes: ByteBuf) {
-        val part = ByteArray(bytes.readableBytes())
-        bytes.readBytes(part)
+        val chunk = ByteArray(bytes.readableBytes())
+        bytes.readBytes(chunk)
         lastEventAt = context.clock.nanos()
         when (stage) {
             Stage.EVENTS -> {
-                splitter.append(part).forEach(exchange::onEvent)
+                splitter.append(chunk).forEach(exchange::onEvent)
             }
 
             Stage.WHOLE, Stage.FAILURE -> {
-                if (bufferedBody.size() + part.size <=
+                if (bufferedBody.size() + chunk.size <=
                     MAX_BUFFERED_BYTES
                 ) {
-                    bufferedBody.write(part)
+                    bufferedBody.write(chunk)
                 } else {
                     abandon("too large to hold")
                 }
@@ -274,7 +282,7 @@
     private fun notExecuted() =
         AttemptOutcome.NotExecuted("the endpoint answered $status and has not run it", reachedEndpoint = true)
 
-    /** Gives the answer up as unusable. */
+    /** Discards the response as unusable and cancels the request. */
     private fun abandon(reason: String) {
         recordFailure()
         stage = Stage.WAITING
@@ -314,7 +322,7 @@
         }
     }
 
-    /** Finds an endpoint that has fallen silent. */
+    /** Fails the attempt, or marks the endpoint as suspect, if the response has stalled. */
     fun checkStalled() {
         val now = context.clock.nanos()
         val since = if (firstResponseMillis == null) startedAt else lastEventAt
@@ -329,17 +337,21 @@
         abandon("silent for $silence")
     }
 
-    /** An endpoint that reads a long prompt pauses between the events of others; any other one is silent sooner. */
+    /**
+     * An engine pauses between the events of other streams during the prefill of a long prompt; any other engine counts
+     * as stalled sooner.
+     */
     private fun eventGapTimeout(now: Long): Duration =
-        if (endpointState.waitingMillis(now) >
-            DELAYING_PREFILL_MILLIS
-        ) {
+        if (endpointState.waitingMillis(now) > DELAYING_PREFILL_MILLIS) {
             EVENT_GAP_TIMEOUT_DURING_PREFILL
         } else {
             EVENT_GAP_TIMEOUT
         }
 
-    /** What can't be repeated is waited for; the endpoint's other requests go elsewhere. */
+    /**
+     * Counts a failure against the endpoint, so that other requests avoid it, and keeps waiting: this request can't be
+     * retried.
+     */
     private fun markSuspect() {
         if (isSuspect) return
         isSuspect = true
@@ -355,37 +367,53 @@
         }
 
     override fun toString(): String =
-        "endpoint=${endpointState.listing.id} version=${endpointState.listing.version} model=$model unread=$uncachedTokens " +
-            "readingMillis=${prefillMillis.toInt()} attemptMillis=${firstResponseMillis?.toInt()}"
+        "endpoint=${endpointState.listing.id} version=${endpointState.listing.version} model=$model " +
+            "unread=$uncachedTokens readingMillis=${prefillMillis.toInt()} " +
+            "attemptMillis=${firstResponseMillis?.toInt()}"
 
     private companion object {
         val SUCCESS = 200..299
         const val NANOS_PER_MILLI = 1e6
 
-        /** Answers of plain services are some kilobytes long. */
+        /** Limit on a buffered response body, 4 MiB; responses of plain services are a few kilobytes. */
         const val MAX_BUFFERED_BYTES = 4_194_304
 
-        /** The endpoints' default is 5; the most urgent kind goes two classes ahead of it. */
+        /**
+         * Urgency of priority 0. The endpoints' default urgency is 5; the most urgent priority ranks two classes ahead
+         * of it.
+         */
         const val TOP_PRIORITY_URGENCY = 3
         const val LOWEST_URGENCY = 9
 
-        /** A connection that an endpoint may be closing must not carry what can't be repeated. */
+        /**
+         * An endpoint may be closing a connection that was idle for longer, which must not carry a request that can't
+         * be retried.
+         */
         val MAX_IDLE_NON_RETRYABLE = 1.seconds
 
-        /** Steps of a busy engine take tens of milliseconds; its prompts are estimated with a factor of safety. */
+        /**
+         * A decode step of a busy engine takes tens of milliseconds; the estimated prefill time is multiplied by a
+         * safety factor.
+         */
         val FIRST_EVENT_TIMEOUT = 700.milliseconds
         const val PREFILL_SAFETY_FACTOR = 2.0
 
-        /** Several steps of a busy engine; leaves time to go on elsewhere before callers count the pause as late. */
+        /**
+         * Several decode steps of a busy engine; short enough to resume at another endpoint before callers count the
+         * gap as late.
+         */
         val EVENT_GAP_TIMEOUT = 350.milliseconds
         val EVENT_GAP_TIMEOUT_DURING_PREFILL = 600.milliseconds
         const val DELAYING_PREFILL_MILLIS = 150.0
 
-        /** An engine that sends anything to anyone is not silent. */
+        /** An engine that has sent anything on any of its connections within this time is not stalled. */
         val ENDPOINT_ALIVE_WINDOW = 300.milliseconds
         val MAX_EVENT_GAP = 4_000.milliseconds
 
-        /** An answer after this is late in any case, and another endpoint likely faster. */
+        /**
+         * Number of latency objectives after which a plain service is retried: the response is late in any case by
+         * then, and another endpoint is likely faster.
+         */
         const val OBJECTIVES_UNTIL_RETRY = 1.5
         val MIN_FIRST_RESPONSE_TIMEOUT = 100.milliseconds
     }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AttemptOutcome.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AttemptOutcome.kt
@@ -2,23 +2,26 @@
 
 /** How an attempt at one endpoint ended without serving the caller. */
 internal sealed interface AttemptOutcome {
-    /** The endpoint states that it has not run the request, or no byte has left for it: then it has not [arrived]. */
+    /**
+     * The endpoint states that it has not executed the request, or no byte of the request was sent, in which case it
+     * has not [reachedEndpoint].
+     */
     data class NotExecuted(
         val reason: String,
         val reachedEndpoint: Boolean,
     ) : AttemptOutcome
 
-    /** The endpoint has answered with a failure. */
+    /** The endpoint returned an error response. */
     class Failed(
-        val answer: ErrorResponse,
+        val response: ErrorResponse,
     ) : AttemptOutcome
 
-    /** The request may have run; its answer is lost, unusable or late. */
+    /** The request may have been executed; its response is lost, unusable or late. */
     data class Unknown(
         val reason: String,
     ) : AttemptOutcome
 
-    /** The answer was given up in favour of a larger model. */
+    /** The response was discarded, and the request escalates to the larger [model]. */
     data class Escalated(
         val model: String,
     ) : AttemptOutcome
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
@@ -11,7 +11,7 @@
 import io.netty.channel.EventLoop
 import org.apache.commons.rng.UniformRandomProvider
 
-/** What serving a request needs of the rest of the router. */
+/** The components and shared state of the router that serving a request needs. */
 internal class CallContext(
     val routing: RoutingState,
     val configurationWatcher: ConfigurationWatcher,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
@@ -9,7 +9,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Admits callers' requests and serves those that may be served. */
+/** Runs admission for callers' requests and starts an [Exchange] for each admitted one. */
 internal class CallHandler(
     private val context: CallContext,
 ) : RequestHandler {
@@ -41,14 +41,14 @@
     private fun reject(
         request: CallerRequest,
         writer: ResponseWriter,
-        answer: RouterResponse,
+        response: RouterResponse,
     ): InFlightRequest {
         LogEvent.REQUEST_REFUSED.log(logger) {
-            "request=${answer.requestId} status=${answer.status} host=${request.host} path=${request.path} " +
-                "reason=\"${answer.reason}\" configuration=${context.routing.configuration?.version} " +
+            "request=${response.requestId} status=${response.status} host=${request.host} path=${request.path} " +
+                "reason=\"${response.reason}\" configuration=${context.routing.configuration?.version} " +
                 "proofAge=${context.configurationWatcher.proofAge().inWholeMilliseconds}"
         }
-        writer.respond(answer)
+        writer.respond(response)
         return Completed
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/DeferredRequest.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/DeferredRequest.kt
@@ -5,9 +5,9 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * A request that came before this router knows what is in force, as after the loss of all routers: callers come back as
- * soon as it listens. It waits until [known], which takes one answer of the store, and is then served; after a short
- * while it is served in any case, which means that it is turned away. Lives on the event loop.
+ * A request that arrived before the router had loaded its configuration, for example when callers reconnect after all
+ * routers were lost. It waits until [isReady], which takes one response of the store, and is then served. After
+ * [MAX_WAIT_MILLIS] it is served in any case, which means that it is rejected. Must be used on the event loop only.
  */
 internal class DeferredRequest(
     private val loop: EventLoop,
@@ -44,7 +44,10 @@
     private companion object {
         const val CHECK_INTERVAL_MILLIS = 10L
 
-        /** A small VM takes some 150 ms from listening to its first configuration; an absent store is told of soon. */
+        /**
+         * A small VM takes about 150 ms from listening to its first configuration; callers learn soon that the store is
+         * unreachable.
+         */
         const val MAX_WAIT_MILLIS = 300L
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
@@ -6,29 +6,29 @@
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.traffic.CallDemand
 
-/** Finds the endpoints that may run a call, and the best of them. */
+/** Finds the endpoints that are eligible for a call, and the best of them. */
 internal class EndpointSelector(
     private val context: CallContext,
 ) {
     /**
-     * Endpoints of the call's service that may run it now: those of [versions], or those of the other version while none of
-     * them is listed, as at the start of a roll-out.
+     * Endpoints of the call's service that accept new requests and run one of [versions]. While none of these is
+     * listed, as at the start of a roll-out, a non-strict choice falls back to the endpoints of the other version.
      */
-    fun eligible(
+    fun eligibleEndpoints(
         call: AdmittedCall,
         versions: VersionChoice,
     ): List<EndpointHandle> {
-        val inService = context.routing.endpointsOf(call.service).filter(::inService)
-        val preferred = inService.filter { versions.allows(it.state.listing.version) }
-        return if (preferred.isEmpty() && versions.bindsOnlyIfListed) inService else preferred
+        val accepting = context.routing.endpointsOf(call.service).filter(::acceptsRequests)
+        val preferred = accepting.filter { versions.allows(it.state.listing.version) }
+        return if (preferred.isEmpty() && versions.bindsOnlyIfListed) accepting else preferred
     }
 
-    private fun inService(endpoint: EndpointHandle): Boolean {
+    private fun acceptsRequests(endpoint: EndpointHandle): Boolean {
         val listing = endpoint.state.listing
         return !listing.leaving && listing.failureDomain.value !in context.routing.evacuatedDomains
     }
 
-    /** The best of [usable], one that was not [tried] if there is any. */
+    /** Returns the best of [eligible], preferring endpoints that were not [tried]; null if none admits the request. */
     fun choose(
         eligible: List<EndpointHandle>,
         tried: Set<EndpointId>,
@@ -38,13 +38,13 @@
         return best(untriedEndpoints, demand) ?: best(eligible - untriedEndpoints.toSet(), demand)
     }
 
-    /** Milliseconds until the best of [usable] is expected to begin its answer. */
+    /** Milliseconds until the best of [eligible] is expected to begin its response. */
     fun expectedMillis(
         eligible: List<EndpointHandle>,
         demand: PlacingDemand,
     ): Double = context.placement.expectedMillis(eligible.map { it.state }, demand, context.clock.nanos())
 
-    /** Milliseconds of reading that wait at one of [usable] on average. */
+    /** Average backlog of queued prefill at one of [eligible], in milliseconds. */
     fun backlogMillis(eligible: List<EndpointHandle>): Double =
         context.placement.backlogMillis(eligible.map { it.state }, context.clock.nanos())
 
@@ -56,17 +56,17 @@
         return candidates.first { it.state === chosen }
     }
 
-    /** What placing a call on [model] needs to know; null for the model of plain services. */
+    /** Describes [demand] for the placement of a call on [model], which is null for plain services. */
     fun placementDemand(
         demand: CallDemand,
         model: String?,
     ): PlacingDemand {
-        val shared = demand.promptParts.dropLast(1).lastOrNull()
+        val sharedPrefix = demand.promptParts.dropLast(1).lastOrNull()
         return PlacingDemand(
             model.orEmpty(),
             demand.promptTokens,
             demand.promptParts,
-            shared?.let { "${it.id}/$model" },
+            sharedPrefix?.let { "${it.id}/$model" },
         )
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/ErrorResponse.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/ErrorResponse.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.call
 
-/** A whole answer of an endpoint that tells of a failure. */
+/** A complete error response of an endpoint. */
 internal class ErrorResponse(
     val status: Int,
     val headers: List<Pair<String, String>>,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EventSplitter.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EventSplitter.kt
@@ -3,16 +3,16 @@
 import java.io.ByteArrayOutputStream
 
 /**
- * Cuts a stream of server-sent events into whole events. What is not yet a whole event is held back, so that a stream can
- * go on at another endpoint after the last event that the caller has.
+ * Splits a stream of server-sent events into complete events. An incomplete event is buffered, so that a stream can
+ * resume at another endpoint after the last event that the caller has received.
  */
 internal class EventSplitter {
     private val buffer = ByteArrayOutputStream()
 
-    /** Whether part of an event has come whose end has not. */
+    /** Whether the buffer holds the beginning of an incomplete event. */
     val hasPartialEvent: Boolean get() = buffer.size() > 0
 
-    /** Takes [bytes]; the events that are whole now, in order. */
+    /** Appends [bytes] to the buffer and removes the events that are complete now, in order. */
     fun append(bytes: ByteArray): List<StreamEvent> {
         buffer.write(bytes)
         val all = buffer.toByteArray()
@@ -31,7 +31,7 @@
         return events
     }
 
-    /** Index after the empty line that ends the event that begins at [start]; 0 if it has not come. */
+    /** Index after the empty line that ends the event that begins at [start]; 0 if the event is incomplete. */
     private fun endOfEvent(
         bytes: ByteArray,
         start: Int,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
@@ -16,8 +16,9 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * One request of a caller, from admission to the end of its answer: places attempts one after the other, hands over what
- * they bring, and decides whether to repeat. At any time one attempt at most is in work. Lives on the event loop.
+ * One request of a caller, from admission to the end of its response: starts attempts one after the other, passes their
+ * responses on, and decides whether to retry. At most one attempt is in flight at any time. Must be used on the event
+ * loop only.
  */
 internal class Exchange(
     private val context: CallContext,
@@ -31,18 +32,21 @@
     private var placementRetry: Future<*>? = null
     private var finished = false
 
-    /** Attempts that were sent, whatever became of them. */
+    /** Attempts that were sent, whatever their outcome. */
     private var sends = 0
 
-    /** Attempts that may have run. */
+    /** Attempts that the endpoint may have executed. */
     private var executions = 0
 
-    /** Whether a run may have had an effect that the caller must not be told to repeat. */
+    /**
+     * Whether an attempt failed or was lost after the endpoint may have executed it: the caller must not be told then
+     * that the request was not executed.
+     */
     private var mayHaveExecuted = false
     private var model: String? = null
     private var lastErrorResponse: ErrorResponse? = null
 
-    /** Whether the caller has received the head of an answer. */
+    /** Whether the head of the response has been sent to the caller. */
     private var responseStarted = false
     private var lastEventId: Long? = call.demand.resumeAfter
     private var eventCount = 0
@@ -70,7 +74,7 @@
     private fun dispatch() {
         placementRetry = null
         if (finished) return
-        val eligible = selector.eligible(call, versions())
+        val eligible = selector.eligibleEndpoints(call, versions())
         val demand = selector.placementDemand(call.demand, model ?: call.demand.model)
         val chosen = selector.choose(eligible, tried, demand) ?: return onNoEndpoint(eligible.isNotEmpty())
         val next = Attempt(context, this, call, chosen, model)
@@ -80,7 +84,10 @@
         next.start(if (responseStarted) lastEventId else call.demand.resumeAfter)
     }
 
-    /** No endpoint takes the request now. One that only bears few requests at the moment is worth a short wait. */
+    /**
+     * Handles that no endpoint admits the request now. If endpoints exist, for example cold ones at their request rate
+     * limit, a short wait is worthwhile.
+     */
     private fun onNoEndpoint(someExist: Boolean) {
         val waited = context.clock.elapsed(call.request.receivedAt)
         if (someExist && waited < call.route.latencyObjective * PLACEMENT_WAIT_SHARE) {
@@ -90,37 +97,46 @@
         fail("no endpoint takes the request; listed=${context.routing.endpointsOf(call.service).size}")
     }
 
-    /** Whether the attempt in work may be given up for another one: without that the caller would be left with nothing. */
+    /**
+     * Whether the attempt in flight may be abandoned for another one; abandoning it otherwise would leave the caller
+     * without a response.
+     */
     fun canRetry(): Boolean =
         call.route.repeatable && executions + 1 < call.route.mostAttempts && canAttempt() &&
             context.routing.retryBudgetOf(call.service).available(context.clock.nanos()) >= 1
 
-    /** Whether another attempt may run the request, with none in work. */
+    /** Whether the request may be sent once more, given that no attempt is in flight. */
     private fun canAttempt(): Boolean =
         (call.route.repeatable || !mayHaveExecuted) && executions < call.route.mostAttempts &&
             sends < call.route.mostAttempts + MAX_NOT_EXECUTED_SENDS
 
-    /** The model to ask in place of the one whose answer begins with [confidence], or null to go on with it. */
+    /**
+     * Returns the larger model to escalate to from an answer that begins with [confidence], and takes a retry from the
+     * budget for it; null to keep the answer.
+     */
     fun chooseLargerModel(
         attempt: Attempt,
         confidence: Int?,
     ): String? {
-        val asked = attempt.model ?: return null
+        val currentModel = attempt.model ?: return null
         val outlook = outlook()
         backlogMillis = outlook.backlogMillis.toInt()
         if (responseStarted || executions + 2 > call.route.mostAttempts) return null
-        val larger = context.sizing.instead(call.route.models, asked, confidence, outlook) ?: return null
+        val larger = context.sizing.instead(call.route.models, currentModel, confidence, outlook) ?: return null
         return larger.takeIf { spendRetry(ESCALATION_BUDGET_SHARE) }
     }
 
     private fun outlook(): SizingOutlook {
-        val left = call.route.latencyObjective - context.clock.elapsed(call.request.receivedAt)
-        val backlog = selector.backlogMillis(selector.eligible(call, versions()))
-        return SizingOutlook(left.inWholeMilliseconds.toDouble(), backlog, ::expectedMillis)
+        val timeToObjective = call.route.latencyObjective - context.clock.elapsed(call.request.receivedAt)
+        val backlog = selector.backlogMillis(selector.eligibleEndpoints(call, versions()))
+        return SizingOutlook(timeToObjective.inWholeMilliseconds.toDouble(), backlog, ::expectedMillis)
     }
 
     private fun expectedMillis(model: String): Double =
-        selector.expectedMillis(selector.eligible(call, versions()), selector.placementDemand(call.demand, model))
+        selector.expectedMillis(
+            selector.eligibleEndpoints(call, versions()),
+            selector.placementDemand(call.demand, model),
+        )
 
     private fun versions(): VersionChoice = context.rollOuts.versionFor(call.service, call.demand.session, call.id)
 
@@ -143,9 +159,9 @@
 
     private fun describe(outcome: AttemptOutcome): String =
         when (outcome) {
-            is AttemptOutcome.NotExecuted -> "not-run (${outcome.reason})"
-            is AttemptOutcome.Escalated -> "dropped for ${outcome.model}"
-            is AttemptOutcome.Failed -> "failed with ${outcome.answer.status}"
+            is AttemptOutcome.NotExecuted -> "not executed (${outcome.reason})"
+            is AttemptOutcome.Escalated -> "escalated to ${outcome.model}"
+            is AttemptOutcome.Failed -> "failed with ${outcome.response.status}"
             is AttemptOutcome.Unknown -> "unknown (${outcome.reason})"
         }
 
@@ -159,8 +175,8 @@
     private fun onErrorResponse(outcome: AttemptOutcome.Failed) {
         executions++
         mayHaveExecuted = true
-        lastErrorResponse = outcome.answer
-        retryOrFail("the endpoint answered ${outcome.answer.status}")
+        lastErrorResponse = outcome.response
+        retryOrFail("the endpoint answered ${outcome.response.status}")
     }
 
     private fun onUnknownOutcome(outcome: AttemptOutcome.Unknown) {
@@ -169,31 +185,36 @@
         retryOrFail(outcome.reason)
     }
 
-    /** Sends the request to another endpoint. What never arrived anywhere [spends] nothing of the budget. */
+    /**
+     * Sends the request to another endpoint, or fails it. [usesBudget] is false for a request that never reached an
+     * endpoint: its retry takes nothing from the retry budget.
+     */
     private fun retryOrFail(
         reason: String,
         usesBudget: Boolean = true,
     ) {
-        val repeats = canAttempt() && remainingTime() > MIN_TIME_TO_RETRY
-        if (repeats && (!usesBudget || spendRetry())) dispatch() else fail(reason)
+        val mayRetry = canAttempt() && remainingTime() > MIN_TIME_TO_RETRY
+        if (mayRetry && (!usesBudget || spendRetry())) dispatch() else fail(reason)
     }
 
-    private fun spendRetry(part: Double = 1.0): Boolean =
-        context.routing.retryBudgetOf(call.service).trySpend(context.clock.nanos(), part)
+    private fun spendRetry(share: Double = 1.0): Boolean =
+        context.routing.retryBudgetOf(call.service).trySpend(context.clock.nanos(), share)
 
     private fun fail(reason: String) {
         val failure = lastErrorResponse
         when {
             responseStarted -> {
-                finish("cut: $reason") { writer.abort() }
+                finish("truncated: $reason") { writer.abort() }
             }
 
             !mayHaveExecuted -> {
-                finish("not run: $reason") { writer.respond(RouterResponse.notExecuted(call.id, retryAfter(), reason)) }
+                finish("not executed: $reason") {
+                    writer.respond(RouterResponse.notExecuted(call.id, retryAfter(), reason))
+                }
             }
 
             failure != null && !claimsNotExecuted(failure) -> {
-                finish("failure of the endpoint") {
+                finish("endpoint error") {
                     writer.respond(failure.status, failure.headers, failure.body)
                 }
             }
@@ -204,7 +225,10 @@
         }
     }
 
-    /** Whether the status of [failure] would promise that the request has not run, which the endpoint did not state. */
+    /**
+     * Whether the status of [failure] would tell the caller that the request was not executed, which the endpoint did
+     * not state.
+     */
     private fun claimsNotExecuted(failure: ErrorResponse): Boolean = failure.status in STATUSES_CLAIMING_NOT_EXECUTED
 
     private fun retryAfter(): Duration =
@@ -230,9 +254,9 @@
     fun onEvent(event: StreamEvent) {
         if (finished) return
         val id = event.id
-        val held = lastEventId
-        // An endpoint that resumes may begin with what the caller has.
-        if (id != null && held != null && id <= held) return
+        val received = lastEventId
+        // A resuming endpoint may repeat events that the caller already has.
+        if (id != null && received != null && id <= received) return
         if (id != null) lastEventId = id
         eventCount++
         if (!writer.write(event.bytes)) attempt?.setAutoRead(enabled = false)
@@ -258,18 +282,18 @@
         firstResponseMillis = context.clock.elapsed(call.request.receivedAt).inWholeMilliseconds
     }
 
-    /** The caller has waited as long as the route or its own deadline allows. */
+    /** Ends the request at the route's timeout or the caller's own deadline. */
     private fun onTimeout() {
         val running = attempt
         attempt = null
         running?.cancel()
         when {
             responseStarted -> {
-                finish("cut at the timeout") { writer.abort() }
+                finish("truncated at the timeout") { writer.abort() }
             }
 
             running == null && !mayHaveExecuted -> {
-                finish("not run in time") {
+                finish("not executed in time") {
                     writer.respond(RouterResponse.notExecuted(call.id, retryAfter(), "no endpoint in time"))
                 }
             }
@@ -282,7 +306,7 @@
 
     override fun onCallerDisconnected() {
         if (finished) return
-        finish("the caller left") {}
+        finish("caller disconnected") {}
     }
 
     override fun onCallerWritable() {
@@ -310,13 +334,14 @@
     ): Unit =
         LogEvent.REQUEST_ENDED.log(logger) {
             "request=${call.id} route=${call.route.name} kind=${call.route.kind} organisation=${call.organisation} " +
-                "session=${call.demand.session} outcome=\"$outcome\" $last sends=$sends runs=$executions events=$eventCount " +
-                "confidence=$confidence backlogMillis=$backlogMillis prompt=${call.demand.promptTokens} " +
-                "output=${call.demand.outputTokens} " +
+                "session=${call.demand.session} outcome=\"$outcome\" $last sends=$sends " +
+                "runs=$executions events=$eventCount confidence=$confidence " +
+                "backlogMillis=$backlogMillis prompt=${call.demand.promptTokens} output=${call.demand.outputTokens} " +
                 "firstMillis=$firstResponseMillis millis=${context.clock.elapsed(
                     call.request.receivedAt,
                 ).inWholeMilliseconds} " +
-                "configuration=${call.configuration.version} proofAge=${context.configurationWatcher.proofAge().inWholeMilliseconds}"
+                "configuration=${call.configuration.version} " +
+                "proofAge=${context.configurationWatcher.proofAge().inWholeMilliseconds}"
         }
 
     private companion object {
@@ -324,20 +349,25 @@
         const val GATEWAY_TIMEOUT = 504
         val STATUSES_CLAIMING_NOT_EXECUTED = setOf(408, 421, 429, 503)
 
-        /** Sends beyond the route's attempts, for endpoints that turned the request away or could not be reached. */
+        /**
+         * Sends in addition to the route's attempts, for endpoints that rejected the request or could not be reached.
+         */
         const val MAX_NOT_EXECUTED_SENDS = 4
 
-        /** Part of the budget that larger models may take; the rest is left for requests that failed. */
+        /**
+         * Share of the retry budget that escalations to larger models may use; the rest is reserved for requests that
+         * failed.
+         */
         const val ESCALATION_BUDGET_SHARE = 0.8
         const val PLACEMENT_RETRY_MILLIS = 40L
 
-        /** Part of the latency objective that a request waits for an endpoint to admit it. */
+        /** Share of the latency objective that a request waits for an endpoint to admit it. */
         const val PLACEMENT_WAIT_SHARE = 0.5
 
         /** A shorter attempt can't succeed. */
         val MIN_TIME_TO_RETRY = 30.milliseconds
 
-        /** An endpoint list heals within about a second; callers come back spread out. */
+        /** An endpoint list recovers within about a second; jitter spreads the callers' retries. */
         val RETRY_AFTER = 150.milliseconds
         const val RETRY_AFTER_JITTER_MILLIS = 300.0
     }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/StreamEvent.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/StreamEvent.kt
@@ -3,7 +3,7 @@
 /**
  * One server-sent event.
  *
- * @property id null if the event bears none.
+ * @property id null if the event has no numeric id.
  */
 internal class StreamEvent private constructor(
     val id: Long?,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Watchdog.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Watchdog.kt
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop
 import java.util.concurrent.TimeUnit
 
-/** Looks after all attempts in work with one timer. Lives on the event loop. */
+/** Checks all attempts in flight for stalls, with one timer. Must be used on the event loop only. */
 internal class Watchdog(
     private val loop: EventLoop,
 ) {
@@ -28,7 +28,7 @@
     }
 
     private companion object {
-        /** Small beside the shortest patience. */
+        /** Short compared with the shortest stall timeout. */
         const val CHECK_INTERVAL_MILLIS = 50L
     }
 }
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/call/DeferredRequestTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/call/DeferredRequestTest.kt
@@ -35,9 +35,9 @@
     }
 
     @Nested
-    inner class `a request that comes before the configuration is known` {
+    inner class `a request that arrives before the configuration is loaded` {
         @Test
-        fun `is served once as soon as it is`() {
+        fun `is served once as soon as the configuration is loaded`() {
             deferredRequest()
             advance(150)
             isReady = true
@@ -47,7 +47,7 @@
         }
 
         @Test
-        fun `is answered after a short while in any case`() {
+        fun `is served after 300 ms in any case`() {
             deferredRequest()
             advance(1_000)
 
@@ -55,7 +55,7 @@
         }
 
         @Test
-        fun `is forgotten when its caller leaves, or ends the work that it has become`() {
+        fun `is dropped when its caller disconnects, or passes the disconnect on once it is served`() {
             deferredRequest().onCallerDisconnected()
             val other = deferredRequest()
             isReady = true
