--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerConnection.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerConnection.kt
@@ -28,8 +28,8 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * One connection of a caller: reads whole requests within the limits, hands them over one at a time, and writes the
- * answers in their order. Lives on the event loop.
+ * One connection of a caller: reads complete requests within the limits, hands them over one at a time, and writes the
+ * responses in the same order. Must be used on the event loop only.
  */
 internal class CallerConnection(
     private val limits: () -> CallerLimits,
@@ -55,7 +55,7 @@
         awaitRequest()
     }
 
-    /** Ends the connection if no request is being read or served. */
+    /** Closes the connection if no request is being read or served. */
     fun closeIfIdle() {
         if (!isBusy) context.close()
     }
@@ -72,7 +72,7 @@
         timer = context.executor().schedule(action, millis, TimeUnit.MILLISECONDS)
     }
 
-    /** The first bytes of a request have come; called before they are decoded. */
+    /** Starts the header timeout; called when the first bytes of a request arrive, before they are decoded. */
     fun onRequestStart() {
         if (isBusy) return
         startTimer(limits().headerTimeout.inWholeMilliseconds) {
@@ -121,10 +121,12 @@
     private fun invalidStatus(request: HttpRequest): HttpResponseStatus? {
         val headers = request.headers()
         val transferEncodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING)
+        val hasUnknownEncoding =
+            transferEncodings.isNotEmpty() && transferEncodings.singleOrNull()?.lowercase() != CHUNKED
         return when {
             headers.getAll(HttpHeaderNames.HOST).size != 1 -> HttpResponseStatus.BAD_REQUEST
             !request.uri().startsWith("/") -> HttpResponseStatus.BAD_REQUEST
-            transferEncodings.isNotEmpty() && transferEncodings.singleOrNull()?.lowercase() != CHUNKED -> HttpResponseStatus.BAD_REQUEST
+            hasUnknownEncoding -> HttpResponseStatus.BAD_REQUEST
             HttpUtil.getContentLength(request, 0L) > limits().bodyBytes -> HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
             else -> null
         }
@@ -140,7 +142,7 @@
         if (content !is LastHttpContent) return
         head = null
         timer?.cancel(false)
-        val whole =
+        val callerRequest =
             CallerRequest(
                 request.method().name(),
                 request.uri(),
@@ -149,7 +151,7 @@
                 headReadAt,
                 HttpUtil.isKeepAlive(request),
             )
-        if (activeWriter == null) serve(whole) else enqueue(whole)
+        if (activeWriter == null) serve(callerRequest) else enqueue(callerRequest)
     }
 
     private fun enqueue(request: CallerRequest) {
@@ -164,7 +166,10 @@
         if (activeWriter === next) inFlight = served
     }
 
-    /** Answers a request that could not be read, and ends the connection: what follows can't be told apart. */
+    /**
+     * Rejects a request that could not be read, and closes the connection, since the boundary of the next request is
+     * unknown.
+     */
     private fun reject(status: HttpResponseStatus) {
         isRejecting = true
         head = null
@@ -195,10 +200,10 @@
 
     override fun channelInactive(context: ChannelHandlerContext) {
         timer?.cancel(false)
-        val left = inFlight
+        val disconnected = inFlight
         inFlight = null
         activeWriter = null
-        left?.onCallerDisconnected()
+        disconnected?.onCallerDisconnected()
         onClosed(this)
     }
 
@@ -282,7 +287,7 @@
         const val NO_CONTENT = 204
         const val NOT_MODIFIED = 304
 
-        /** Requests that a caller may send ahead of its answers before reading pauses. */
+        /** Requests that a caller may pipeline before reading from the connection pauses. */
         const val MAX_PIPELINED_REQUESTS = 4
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerRequest.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerRequest.kt
@@ -3,11 +3,11 @@
 import io.netty.handler.codec.http.HttpHeaders
 
 /**
- * A whole request of a caller.
+ * A complete request of a caller.
  *
  * @property target path and query as the caller sent them.
- * @property receivedAt monotonic time at which its head was read.
- * @property keepAlive whether the caller keeps its connection for further requests.
+ * @property receivedAt monotonic time in nanoseconds at which its head was read.
+ * @property keepAlive whether the caller keeps its connection open for further requests.
  */
 internal class CallerRequest(
     val method: String,
@@ -20,7 +20,7 @@
     /** The path without its query. */
     val path: String get() = target.substringBefore('?')
 
-    /** The host, lower case and without a port; empty if there is none. */
+    /** The host in lower case and without a port; empty if the header is missing. */
     val host: String
         get() =
             headers
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerServer.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerServer.kt
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpResponseEncoder
 import java.net.InetSocketAddress
 
-/** Listens for callers. Lives on the event loop, but for [listen]. */
+/** Listens for callers and tracks their connections. Must be used on the event loop only, except [listen]. */
 internal class CallerServer(
     private val group: EventLoopGroup,
     private val limits: () -> CallerLimits,
@@ -19,10 +19,10 @@
 ) {
     private val connections = HashSet<CallerConnection>()
 
-    /** Whether any caller waits for an answer or is sending a request. */
+    /** Whether any caller is waiting for a response or is sending a request. */
     val isBusy: Boolean get() = connections.any { it.isBusy }
 
-    /** Opens the port at [address], an `ip:port`. */
+    /** Binds to [address], an `ip:port`. */
     fun listen(address: String): Channel {
         val bootstrap = ServerBootstrap().group(group).channel(NioServerSocketChannel::class.java)
         bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -56,11 +56,11 @@
         childOption(option as ChannelOption<Any>, value)
     }
 
-    /** Ends the connections on which no request is being read or served. */
+    /** Closes the connections on which no request is being read or served. */
     fun closeIdle(): Unit = connections.toList().forEach { it.closeIfIdle() }
 
     private companion object {
-        /** Connections that come at once when a failure domain's callers move here. */
+        /** Accommodates the burst of connections when the callers of a failure domain move to this router. */
         const val BACKLOG = 1_024
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/ConnectionPool.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/ConnectionPool.kt
@@ -13,10 +13,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Connections to one address. The newest idle connection goes first, so that those a peak left behind age and end.
- * Lives on the event loop.
+ * Pool of connections to one address. It reuses the most recently used idle connection first, so that surplus
+ * connections left over from a peak reach their idle timeout. Must be used on the event loop only.
  *
- * @property onBytes called whenever anything arrives from the address.
+ * @property onBytesReceived called whenever bytes arrive from the address.
  */
 internal class ConnectionPool(
     private val loop: EventLoop,
@@ -27,7 +27,7 @@
     private var isClosed = false
     private val target = InetSocketAddress(address.substringBeforeLast(':'), address.substringAfterLast(':').toInt())
 
-    /** Sends [request] on an idle connection that has waited less than [longestIdle], or on a new one. */
+    /** Sends [request] on a connection that has been idle for less than [maxIdle], or on a new one. */
     fun send(
         request: OutboundRequest,
         listener: OutboundListener,
@@ -49,7 +49,7 @@
         while (true) {
             val connection = idle.removeLastOrNull() ?: return null
             val age = now - connection.idleSince
-            // Half of its life leaves room for the way there and for a clock that runs differently.
+            // Half of the peer's idle timeout leaves a margin for the transit time and for clock drift.
             if (connection.isOpen && age < connection.idleTimeoutNanos / 2) {
                 if (age < maxIdle.inWholeNanoseconds) return connection
                 idle.addLast(connection)
@@ -67,7 +67,7 @@
         lateinit var connection: OutboundConnection
         val bootstrap = Bootstrap().group(loop).channel(NioSocketChannel::class.java)
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT.inWholeMilliseconds.toInt())
-        SocketOptions.COMMON.forEach { (option, value) -> bootstrap.set(option, value) }
+        SocketOptions.COMMON.forEach { (option, value) -> bootstrap.setOption(option, value) }
         bootstrap.handler(
             object : ChannelInitializer<Channel>() {
                 override fun initChannel(channel: Channel) {
@@ -99,7 +99,7 @@
     }
 
     @Suppress("UNCHECKED_CAST")
-    private fun Bootstrap.set(
+    private fun Bootstrap.setOption(
         option: ChannelOption<*>,
         value: Any,
     ) {
@@ -110,7 +110,7 @@
         if (isClosed || idle.size >= MAX_IDLE_CONNECTIONS) connection.cancel() else idle.addLast(connection)
     }
 
-    /** Ends the idle connections; those in work end after their answer. */
+    /** Closes the idle connections; busy ones close after their response. */
     override fun close() {
         isClosed = true
         idle.forEach { it.cancel() }
@@ -118,10 +118,10 @@
     }
 
     private companion object {
-        /** Ways are a few milliseconds long; the first repeat of a lost opening packet comes after a second. */
+        /** Round trips take a few milliseconds; TCP retransmits a lost SYN only after a second. */
         val CONNECT_TIMEOUT = 400.milliseconds
 
-        /** Enough for the requests that one router has at one endpoint at a time. */
+        /** Covers the concurrent requests of one router at one endpoint. */
         const val MAX_IDLE_CONNECTIONS = 64
         val DECODER: HttpDecoderConfig =
             HttpDecoderConfig()
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/FirstByteHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/FirstByteHandler.kt
@@ -3,7 +3,7 @@
 import io.netty.channel.ChannelHandlerContext
 import io.netty.channel.ChannelInboundHandlerAdapter
 
-/** Tells a [CallerConnection] that bytes have come, before they are decoded: its header timeout starts there. */
+/** Notifies a [CallerConnection] of received bytes before they are decoded, which starts its header timeout. */
 internal class FirstByteHandler(
     private val connection: CallerConnection,
 ) : ChannelInboundHandlerAdapter() {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/HeadAction.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/HeadAction.kt
@@ -1,10 +1,10 @@
 package dev.almondhaven.gateway.net
 
-/** What a connection does with an answer after its head. */
+/** What a connection does with the content of a response after its head. */
 internal enum class HeadAction {
-    /** Pass its content on. */
+    /** Passes the content on to the listener. */
     TAKE,
 
-    /** It belongs to no request that waits here: drop it, and wait for the next one. */
+    /** Discards the response, which belongs to another request, and waits for the next one. */
     SKIP,
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/InFlightRequest.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/InFlightRequest.kt
@@ -2,9 +2,9 @@
 
 /** A request that is being served. */
 internal interface InFlightRequest {
-    /** The caller is gone: all work for it ends. */
+    /** The caller has disconnected; all work for the request is cancelled. */
     fun onCallerDisconnected()
 
-    /** The caller can take more of its answer again. */
+    /** The connection to the caller is writable again after backpressure. */
     fun onCallerWritable()
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundCall.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundCall.kt
@@ -1,10 +1,10 @@
 package dev.almondhaven.gateway.net
 
-/** A request that was handed to a [ConnectionPool], on its way or in work. */
+/** Handle of a request that was passed to a [ConnectionPool]. */
 internal class OutboundCall {
     private var connection: OutboundConnection? = null
 
-    /** Whether the caller has lost interest; a connection that opens afterwards is kept for others. */
+    /** Whether the request was cancelled; a connection that opens afterwards is returned to the pool. */
     var cancelled = false
         private set
 
@@ -12,7 +12,10 @@
         this.connection = connection
     }
 
-    /** Ends the request, and by that its work at the other end. Must not be called after its answer has ended. */
+    /**
+     * Cancels the request by closing its connection, which also ends the work at the peer. Must not be called after the
+     * response has ended.
+     */
     fun cancel() {
         cancelled = true
         connection?.cancel()
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundConnection.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundConnection.kt
@@ -16,8 +16,8 @@
 import io.netty.util.ReferenceCountUtil
 
 /**
- * One HTTP/1.1 connection to an endpoint or to the store, with one request at a time. A connection that gave anything
- * but whole answers to its own requests is not used again. Lives on the event loop.
+ * One HTTP/1.1 connection to an endpoint or to the store, with one request at a time. A connection is reused only while
+ * it has delivered nothing but complete responses to its own requests. Must be used on the event loop only.
  */
 internal class OutboundConnection(
     private val channel: Channel,
@@ -31,11 +31,11 @@
     private var requestWritten = false
     private var isReusable = true
 
-    /** Monotonic time of the end of the last answer. */
+    /** Monotonic time in nanoseconds at which the last response ended. */
     var idleSince = 0L
         private set
 
-    /** How long the other end keeps the connection when it is idle. */
+    /** How long the peer keeps an idle connection open. */
     var idleTimeoutNanos = DEFAULT_IDLE_TIMEOUT_NANOS
         private set
     val isOpen: Boolean get() = channel.isActive && isReusable
@@ -44,7 +44,7 @@
         request: OutboundRequest,
         listener: OutboundListener,
     ) {
-        check(this.listener == null) { "the connection to $host carries a request already" }
+        check(this.listener == null) { "the connection to $host already carries a request" }
         if (!channel.isActive) return listener.onFailure(sent = false, reason = "closed before the request")
         this.listener = listener
         headReceived = false
@@ -62,12 +62,12 @@
         }
     }
 
-    /** Pauses or goes on with reading, when the other side of a relay can't keep up. */
+    /** Pauses or resumes reading, for backpressure from the receiving side. */
     fun setAutoRead(enabled: Boolean) {
         channel.config().isAutoRead = enabled
     }
 
-    /** Ends the connection; a request in work there is cancelled by that. The listener hears nothing more. */
+    /** Closes the connection, which cancels a request in flight; the listener is not called any more. */
     fun cancel() {
         listener = null
         close()
@@ -134,7 +134,7 @@
         val ended = listener ?: return
         listener = null
         idleSince = System.nanoTime()
-        // An answer that came before the whole body was written leaves the rest of the body on its way.
+        // If the response ended before the request was fully written, the rest of the body is still in transit.
         if (isReusable && requestWritten && channel.isActive) onIdle(this) else close()
         ended.onEnd()
     }
@@ -163,7 +163,7 @@
         val KEEP_ALIVE_TIMEOUT = Regex("""timeout=(\d+)""")
         const val NANOS_PER_SECOND = 1_000_000_000L
 
-        /** Common servers keep idle connections for five seconds or longer. */
+        /** Used if the peer states no timeout; common servers keep idle connections for five seconds or longer. */
         const val DEFAULT_IDLE_TIMEOUT_NANOS = 4 * NANOS_PER_SECOND
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundListener.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundListener.kt
@@ -3,20 +3,23 @@
 import io.netty.buffer.ByteBuf
 import io.netty.handler.codec.http.HttpHeaders
 
-/** Takes the answer to one outbound request. All calls come on the event loop; [end] or [broken] is the last one. */
+/**
+ * Receives the response to one outbound request. All calls come on the event loop; [onEnd] or [onFailure] is the last
+ * one.
+ */
 internal interface OutboundListener {
     fun onHead(
         status: Int,
         headers: HttpHeaders,
     ): HeadAction
 
-    /** [bytes] are valid during the call only. */
+    /** Receives a part of the body; [bytes] are valid during the call only. */
     fun onContent(bytes: ByteBuf)
 
-    /** The answer is complete. */
+    /** The response is complete. */
     fun onEnd()
 
-    /** No complete answer will come. [sent] is false only if no byte of the request has left. */
+    /** No complete response will arrive. [sent] is false only if no byte of the request was sent. */
     fun onFailure(
         sent: Boolean,
         reason: String,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundRequest.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundRequest.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.net
 
-/** A request to an endpoint or to the store, its body complete. */
+/** A request to an endpoint or to the store, with its complete body. */
 internal class OutboundRequest(
     val method: String,
     val path: String,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/RequestHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/RequestHandler.kt
@@ -2,7 +2,7 @@
 
 /** Serves callers' requests. */
 internal fun interface RequestHandler {
-    /** Begins to serve [request]; returns what hears of the caller's side. */
+    /** Starts to serve [request]; the returned object is notified of the caller's connection state. */
     fun serve(
         request: CallerRequest,
         writer: ResponseWriter,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/SocketOptions.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/SocketOptions.kt
@@ -4,11 +4,11 @@
 import io.netty.channel.socket.nio.NioChannelOption
 import jdk.net.ExtendedSocketOptions
 
-/** Socket options that all connections share. */
+/** Socket options of all connections. */
 internal object SocketOptions {
     /**
-     * A connection whose other end has lost track of it is found within about three seconds: the probes start after one
-     * second of silence, follow each second, and two unanswered ones end the connection.
+     * Detects a connection that the peer no longer knows within about three seconds: keep-alive probes start after one
+     * second of silence and repeat every second, and two unanswered ones close the connection.
      */
     val COMMON: Map<ChannelOption<*>, Any> =
         mapOf(
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/StrictRequestDecoder.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/StrictRequestDecoder.kt
@@ -4,7 +4,10 @@
 import io.netty.handler.codec.http.HttpMessage
 import io.netty.handler.codec.http.HttpRequestDecoder
 
-/** A request decoder that refuses a message with two statements of its length: what follows could be read two ways. */
+/**
+ * A request decoder that rejects a message with both Content-Length and Transfer-Encoding, since the ambiguous length
+ * allows request smuggling.
+ */
 internal class StrictRequestDecoder(
     headerBytes: Int,
 ) : HttpRequestDecoder(
@@ -14,7 +17,7 @@
             .setMaxChunkSize(CHUNK_BYTES),
     ) {
     override fun handleTransferEncodingChunkedWithContentLength(message: HttpMessage): Unit =
-        throw IllegalArgumentException("both a length and a transfer coding")
+        throw IllegalArgumentException("both Content-Length and Transfer-Encoding are present")
 
     private companion object {
         const val CHUNK_BYTES = 65_536
