--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessage.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessage.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What one datagram tells another router. */
+/** Content of one datagram to another router. */
 @Serializable
 internal data class PeerMessage(
     @SerialName("readings") val prefills: List<PrefillAnnouncement> = emptyList(),
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessenger.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessenger.kt
@@ -22,10 +22,10 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Tells the other routers which endpoints read long prompts for this one, and hears the same of them: an engine that reads
- * a long prompt delays whatever else comes to it, and its own reports are too old to show that. During a roll-out it also
- * tells which sessions still run on the old version, since the requests of a session reach different routers. Datagrams may
- * be lost; what they say only ever shifts a choice between endpoints. Lives on the event loop, but for [listen].
+ * Exchanges datagrams with the other routers about long prefills: an engine in the prefill of a long prompt delays all
+ * its other requests, and its load reports are too old to show that. During a roll-out the routers also announce which
+ * sessions still run on the old version, since the requests of a session reach different routers. Datagrams may be
+ * lost; they only influence the choice between endpoints. Must be used on the event loop only, except [listen].
  */
 internal class PeerMessenger(
     private val group: EventLoopGroup,
@@ -39,10 +39,10 @@
     private val prefills = ArrayList<PrefillAnnouncement>()
     private val sessions = ArrayList<SessionAnnouncement>()
 
-    /** Hears what other routers say of sessions. */
+    /** Called with the session announcements of other routers. */
     var onSession: (SessionAnnouncement) -> Unit = {}
 
-    /** Opens the port. */
+    /** Binds to the peer address. */
     fun listen() {
         val bootstrap = Bootstrap().group(group).channel(NioDatagramChannel::class.java).handler(Receiver())
         channel = bootstrap.bind(socketAddress(address)).sync().channel()
@@ -56,7 +56,7 @@
     private fun socketAddress(text: String): InetSocketAddress =
         InetSocketAddress(text.substringBeforeLast(':'), text.substringAfterLast(':').toInt())
 
-    /** Announces that the attempt [key] keeps [endpoint] reading for [millis], if that is long. */
+    /** Announces that the attempt [key] keeps [endpoint] in prefill for [millis], if that is long enough to matter. */
     fun announcePrefillStart(
         key: String,
         endpoint: EndpointId,
@@ -65,7 +65,7 @@
         if (isWorthAnnouncing(millis)) send(PrefillAnnouncement(key, endpoint.value, millis.toInt()))
     }
 
-    /** Revokes what [readingBegins] announced. */
+    /** Revokes what [announcePrefillStart] announced. */
     fun announcePrefillEnd(
         key: String,
         endpoint: EndpointId,
@@ -74,11 +74,11 @@
         if (isWorthAnnouncing(millis)) send(PrefillAnnouncement(key, endpoint.value, 0))
     }
 
-    /** A larger fleet announces only longer prompts, so that what one router receives stays bounded. */
+    /** In a larger fleet only longer prefills are announced, which bounds the messages that one router receives. */
     private fun isWorthAnnouncing(millis: Double): Boolean =
         millis >= MIN_PREFILL_MILLIS * maxOf(1, routing.routerCount / ROUTERS_AT_MIN_PREFILL)
 
-    /** Announces which version a session runs on, or ran on until now. */
+    /** Announces the version that a session runs on, or ran on until now. */
     fun announceSession(announcement: SessionAnnouncement) {
         if (peers.isEmpty()) return
         scheduleFlush()
@@ -147,14 +147,14 @@
     private companion object {
         val json = Json { ignoreUnknownKeys = true }
 
-        /** Notes of about 60 bytes fit into one packet of the network. */
+        /** So many announcements of about 60 bytes fit into one packet. */
         const val MAX_ANNOUNCEMENTS_PER_DATAGRAM = 16
 
-        /** About two steps of a busy engine; shorter readings delay nobody noticeably. */
+        /** About two decode steps of a busy engine; shorter prefills delay no other request noticeably. */
         const val MIN_PREFILL_MILLIS = 60.0
         const val ROUTERS_AT_MIN_PREFILL = 8
 
-        /** Notes that come together go out together. */
+        /** Announcements within this time are sent together. */
         const val BATCH_DELAY_MILLIS = 2L
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PrefillAnnouncement.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PrefillAnnouncement.kt
@@ -4,10 +4,10 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Tells other routers that an attempt keeps an endpoint reading, or no longer does.
+ * Announces to other routers that an attempt keeps an endpoint in prefill, or no longer does.
  *
- * @property key names the attempt.
- * @property millis expected time of reading; 0 when it has ended.
+ * @property key identifies the attempt.
+ * @property millis expected prefill time; 0 when the prefill has ended.
  */
 @Serializable
 internal data class PrefillAnnouncement(
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/SessionAnnouncement.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/SessionAnnouncement.kt
@@ -4,9 +4,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Tells other routers which version of a service a session last ran on.
+ * Announces to other routers which version of a service a session last ran on.
  *
- * @property running whether the run goes on; otherwise it has just ended.
+ * @property running whether the request is still running; false if it has just ended.
  */
 @Serializable
 internal data class SessionAnnouncement(
