--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/CdsTrainingRun.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/CdsTrainingRun.kt
@@ -19,20 +19,21 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Serves a few requests on loopback, with a store and endpoints that answer from fixed texts. The build runs it once to
- * archive the classes that serving needs, so that a process that starts takes requests sooner.
+ * Serves a few requests on loopback, with a store and endpoints that return fixed responses. The build runs it once to
+ * create the class data sharing (CDS) archive of the classes that serving needs, which shortens the startup of the
+ * router.
  */
 internal class CdsTrainingRun {
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
 
     private class FixedResponseHandler(
-        private val answer: (CallerRequest) -> Triple<Int, List<Pair<String, String>>, String>,
+        private val respond: (CallerRequest) -> Triple<Int, List<Pair<String, String>>, String>,
     ) : RequestHandler {
         override fun serve(
             request: CallerRequest,
             writer: ResponseWriter,
         ): InFlightRequest {
-            val (status, headers, body) = answer(request)
+            val (status, headers, body) = respond(request)
             writer.respond(status, headers, body.toByteArray())
             return Completed
         }
@@ -44,15 +45,16 @@
         }
     }
 
-    private fun serve(answer: (CallerRequest) -> Triple<Int, List<Pair<String, String>>, String>): String {
-        val server = CallerServer(group, { CallerLimits.BEFORE_CONFIGURATION }, { false }, FixedResponseHandler(answer))
+    private fun startServer(respond: (CallerRequest) -> Triple<Int, List<Pair<String, String>>, String>): String {
+        val server =
+            CallerServer(group, { CallerLimits.BEFORE_CONFIGURATION }, { false }, FixedResponseHandler(respond))
         return "127.0.0.1:${(server.listen("127.0.0.1:0").localAddress() as InetSocketAddress).port}"
     }
 
-    /** Exit status: 0 if all requests were served. */
+    /** Runs the training requests and returns the exit status: 0 if all were served. */
     fun run(): Int {
-        val endpoint = serve(::endpointAnswer)
-        val store = serve { storeAnswer(it, endpoint) }
+        val endpoint = startServer(::endpointResponse)
+        val store = startServer { storeResponse(it, endpoint) }
         val bounds = TrafficBounds(1.seconds, 2.seconds, 5.seconds, 0.9, 50.0, 10.seconds, 5.seconds)
         val place =
             RouterPlace(
@@ -66,24 +68,27 @@
             )
         val gateway = Gateway.start(place)
         val port = gateway.callerPort
-        val served = (1..TRIES).any { served(port, STREAM).also { if (!it) TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS) } }
-        val all = served && (1..REPEATS).all { served(port, STREAM) && served(port, WHOLE) }
+        val ready =
+            (1..MAX_WARM_UP_ATTEMPTS).any {
+                requestSucceeds(port, STREAM).also { if (!it) TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS) }
+            }
+        val allServed = ready && (1..ROUNDS).all { requestSucceeds(port, STREAM) && requestSucceeds(port, UNARY) }
         gateway.stop()
-        return if (all) 0 else 1
+        return if (allServed) 0 else 1
     }
 
-    private fun endpointAnswer(request: CallerRequest): Triple<Int, List<Pair<String, String>>, String> {
+    private fun endpointResponse(request: CallerRequest): Triple<Int, List<Pair<String, String>>, String> {
         val streamed = request.path.startsWith(WireSamples.STREAM_PATH)
         val headers = WireSamples.answerHeaders(REQUEST_ID, confidence = if (streamed) 90 else null)
         return Triple(OK, headers, if (streamed) EVENTS else "whole")
     }
 
-    private fun storeAnswer(
+    private fun storeResponse(
         request: CallerRequest,
         endpoint: String,
     ) = Triple(OK, listOf("Content-Type" to "application/json"), WireSamples.storeBody(request.path, listOf(endpoint)))
 
-    private fun served(
+    private fun requestSucceeds(
         port: Int,
         path: String,
     ): Boolean {
@@ -95,12 +100,12 @@
 
     private companion object {
         const val STREAM = "${WireSamples.STREAM_PATH}a"
-        const val WHOLE = "${WireSamples.WHOLE_PATH}a"
+        const val UNARY = "${WireSamples.WHOLE_PATH}a"
         const val EVENTS = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
         const val REQUEST_ID = "r-1"
         const val OK = 200
-        const val TRIES = 50
-        const val REPEATS = 20
-        const val PAUSE_MILLIS = 50L
+        const val MAX_WARM_UP_ATTEMPTS = 50
+        const val ROUNDS = 20
+        const val RETRY_DELAY_MILLIS = 50L
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
@@ -35,8 +35,8 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * The router as it serves on the platform: callers on one side, endpoints on the other, the platform's store for what all
- * routers must agree on. One thread carries requests and state; nothing is shared between threads.
+ * The router process: serves callers, sends their requests to endpoints, and uses the platform's store for what all
+ * routers must agree on. A single thread handles requests and state, so no data is shared between threads.
  */
 internal class Gateway private constructor(
     private val place: RouterPlace,
@@ -103,7 +103,7 @@
         onChanges: (List<StoreChange>) -> Unit,
     ): Unit = KindWatcher(kind, store, loop, random, batchDelayOf(kind), onList, onChanges).start()
 
-    /** How long changes of one kind may wait for others, so that one call brings them together. */
+    /** How long changes of one kind may wait, so that one call returns them together. */
     private fun batchDelayOf(kind: StoreKind): Duration =
         when (kind) {
             StoreKind.ENDPOINTS -> place.bounds.drain / ENDPOINT_BATCH_DELAY_DIVISOR
@@ -146,10 +146,10 @@
         }
     }
 
-    /** When an entry that is missing now counts as gone: at once, unless the store has just come back. */
+    /** When an entry that is now missing is removed: at once, unless the store has recovered recently. */
     private fun removalTime(): Long {
-        val returned = store.recoveredAt ?: return clock.nanos()
-        return maxOf(clock.nanos(), returned + RoutingState.RELISTING_GRACE.inWholeNanoseconds)
+        val recoveredAt = store.recoveredAt ?: return clock.nanos()
+        return maxOf(clock.nanos(), recoveredAt + RoutingState.RELISTING_GRACE.inWholeNanoseconds)
     }
 
     private fun evacuationsListed(entries: List<StoredObject>) {
@@ -201,7 +201,7 @@
         peers.setPeers(routers.values.filterNotNull().filter { it != place.peerAddress })
     }
 
-    /** Enters this router in the list by which the routers find each other and share their bounds. */
+    /** Registers this router in the list through which the routers find each other and count who shares the bounds. */
     private fun register() {
         store.call(StoreCall.register(place.name, place.peerAddress), REGISTER_TIMEOUT) { response ->
             when (response?.status) {
@@ -212,19 +212,20 @@
         }
     }
 
-    /** Another VM had this one's name; its entry gets this one's address. */
+    /** Updates the address in an entry that another VM created under this router's name. */
     private fun updateAddress(held: StoredObject) {
         if (held.asPeer() == place.peerAddress) return
         store.call(StoreCall.moveRouter(held, place.peerAddress), REGISTER_TIMEOUT) { response ->
-            if (response ==
-                null
-            ) {
+            if (response == null) {
                 loop.schedule(::register, REGISTER_RETRY_DELAY.inWholeMilliseconds, TimeUnit.MILLISECONDS)
             }
         }
     }
 
-    /** Serves what has come, takes no new connections, and returns when nothing is left or the grace is nearly over. */
+    /**
+     * Finishes the requests in flight and takes no new connections; returns when none is left, or shortly before the
+     * end of the grace period.
+     */
     fun stop() {
         LogEvent.ROUTER_STOPPING.log(logger) { "router=${place.name}" }
         lifecycle.stop()
@@ -239,25 +240,28 @@
     private fun isBusy(): Boolean = loop.submit<Boolean> { callerServer.isBusy }.get()
 
     companion object {
-        /** Small beside the seconds within which an order of the operator is in force. */
+        /** Short compared with the seconds within which an operator's order must be in force. */
         private val BATCH_DELAY = 150.milliseconds
 
-        /** Endpoints change most often, in groups during roll-outs; a leaving one is known in a third of its time. */
+        /**
+         * Endpoints change most often, in bursts during roll-outs. A third of the drain time is short enough to stop
+         * sending to an endpoint that is leaving.
+         */
         private const val ENDPOINT_BATCH_DELAY_DIVISOR = 3
 
-        /** Who shares the bounds changes only when routers start. */
+        /** The set of routers that share the bounds changes only when routers start. */
         private val ROUTER_BATCH_DELAY = 2.seconds
         private val REGISTER_TIMEOUT = 1_000.milliseconds
         private val REGISTER_RETRY_DELAY = 1.seconds
 
-        /** The balancer asks each second, and stops sending connections after two refusals. */
+        /** The load balancer checks readiness every second, and stops sending connections after two failed checks. */
         private val BALANCER_DRAIN_DELAY = 2_500.milliseconds
 
-        /** Room to end before the process is killed. */
+        /** Time reserved to exit before the process is killed. */
         private val STOP_MARGIN = 300.milliseconds
         private const val STOP_CHECK_MILLIS = 50L
 
-        /** Starts serving at [place]. */
+        /** Starts serving with the settings in [place]. */
         fun start(place: RouterPlace): Gateway = Gateway(place).also { it.start() }
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/GatewayMain.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/GatewayMain.kt
@@ -1,4 +1,5 @@
-// The router's process on the platform's VMs: reads the VM's settings, serves until it is asked to stop.
+// Entry point of the router process on the platform's VMs: reads the VM's settings and serves until it is asked to
+// stop.
 
 package dev.almondhaven.gateway
 
@@ -18,7 +19,10 @@
 private val logger = KotlinLogging.logger {}
 private const val EXIT_CONFIGURATION = 78
 
-/** Runs the router, or with `rehearse` a [CdsTrainingRun]; ends with status 78 if the settings are wrong. */
+/**
+ * Runs the router, or a [CdsTrainingRun] if the argument is `rehearse`; exits with status 78 if the settings are
+ * invalid.
+ */
 public fun main(arguments: Array<String>) {
     if (arguments.contentEquals(arrayOf("rehearse"))) exitProcess(CdsTrainingRun().run())
     val place = readPlace() ?: exitProcess(EXIT_CONFIGURATION)
@@ -30,7 +34,7 @@
     stop.await()
     gateway.stop()
     (LoggerFactory.getILoggerFactory() as LoggerContext).stop()
-    // Ends without a second round of handlers; nothing is left to save.
+    // Exits without shutdown hooks; no state is left to save.
     Runtime.getRuntime().halt(0)
 }
 
@@ -51,7 +55,10 @@
     ) { it }
 }
 
-/** Addresses can't change while the process runs; everything else comes from the store. */
+/**
+ * Reads the settings again and logs whether they have changed. A running process does not apply changes: addresses
+ * can't change while it runs, and everything else comes from the store.
+ */
 private fun reload(running: RouterPlace) {
     val next = readPlace() ?: return
     LogEvent.SETTINGS_RELOADED.log(logger) { "router=${running.name} changed=${next != running}" }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/ReadinessHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/ReadinessHandler.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.gateway.net.RequestHandler
 import dev.almondhaven.gateway.net.ResponseWriter
 
-/** Tells the balancer whether this router takes new connections. */
+/** Answers the load balancer's readiness checks. */
 internal class ReadinessHandler(
     private val isReady: () -> Boolean,
 ) : RequestHandler {
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayFixture.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayFixture.kt
@@ -18,20 +18,20 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A gateway before [endpoints], with a store that lists them; all in this process on loopback.
+ * A gateway in front of [endpoints], with a store that lists them; all in this process on loopback.
  *
- * @param repeats whether requests may be repeated at all.
+ * @param allowsRetries whether the retry budget allows any retries.
  */
 internal class GatewayFixture(
     private val endpoints: List<ScriptedEndpoint>,
-    repeats: Boolean = true,
+    allowsRetries: Boolean = true,
 ) : AutoCloseable {
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val store = CallerServer(group, { CallerLimits.BEFORE_CONFIGURATION }, { false }, storeHandler())
     private val storePort = (store.listen("127.0.0.1:0").localAddress() as InetSocketAddress).port
-    private val ratio = if (repeats) 0.9 else 0.0
-    private val slack = if (repeats) 50.0 else 0.0
-    private val bounds = TrafficBounds(1.seconds, 2.seconds, 5.seconds, ratio, slack, 10.seconds, 5.seconds)
+    private val retryRatio = if (allowsRetries) 0.9 else 0.0
+    private val retrySlack = if (allowsRetries) 50.0 else 0.0
+    private val bounds = TrafficBounds(1.seconds, 2.seconds, 5.seconds, retryRatio, retrySlack, 10.seconds, 5.seconds)
     private val gateway =
         Gateway.start(
             RouterPlace(
@@ -46,11 +46,11 @@
         )
 
     init {
-        repeat(PATIENCE_STEPS) {
+        repeat(MAX_READY_CHECKS) {
             if (!call("${WireSamples.WHOLE_PATH}ready", id = "ready").startsWith("HTTP/1.1 503")) return@repeat
-            TimeUnit.MILLISECONDS.sleep(STEP_MILLIS)
+            TimeUnit.MILLISECONDS.sleep(READY_CHECK_INTERVAL_MILLIS)
         }
-        endpoints.forEach { it.arrived.clear() }
+        endpoints.forEach { it.requestHeads.clear() }
     }
 
     private fun storeHandler() =
@@ -66,7 +66,7 @@
 
     fun connect(): Socket = Socket("127.0.0.1", gateway.callerPort)
 
-    /** A request's text; the connection ends after its answer unless [keepAlive]. */
+    /** The text of a request; the router closes the connection after the response unless [keepAlive]. */
     fun request(
         path: String,
         id: String,
@@ -80,8 +80,8 @@
         return "POST $path HTTP/1.1\r\n$lines\r\n$body"
     }
 
-    /** Sends the raw [text] on a connection of its own; all that comes back until the connection ends. */
-    fun exchange(text: String): String =
+    /** Sends the raw [text] on a new connection and returns all that is received until the connection closes. */
+    fun sendRaw(text: String): String =
         connect().use { socket ->
             socket.getOutputStream().write(text.toByteArray())
             try {
@@ -96,7 +96,7 @@
         id: String,
         body: String = "",
         headers: List<Pair<String, String>> = WireSamples.callHeaders(id),
-    ): String = exchange(request(path, id, body, headers))
+    ): String = sendRaw(request(path, id, body, headers))
 
     override fun close() {
         gateway.stop()
@@ -106,7 +106,7 @@
 
     private companion object {
         const val OK = 200
-        const val PATIENCE_STEPS = 200
-        const val STEP_MILLIS = 20L
+        const val MAX_READY_CHECKS = 200
+        const val READY_CHECK_INTERVAL_MILLIS = 20L
     }
 }
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayPathTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayPathTest.kt
@@ -11,18 +11,18 @@
 import java.util.concurrent.CountDownLatch
 import java.util.concurrent.TimeUnit
 
-/** Requests through a whole gateway to endpoints that answer as scripted. */
+/** Sends requests through a complete gateway to endpoints with scripted responses. */
 class GatewayPathTest {
-    private var scene: GatewayFixture? = null
+    private var fixture: GatewayFixture? = null
 
     @AfterEach
     fun end() {
-        scene?.close()
+        fixture?.close()
     }
 
-    private fun scene(
-        vararg scripts: (ScriptedEndpoint.Served) -> Unit,
-        repeats: Boolean = true,
+    private fun start(
+        vararg scripts: (ScriptedEndpoint.ReceivedRequest) -> Unit,
+        allowsRetries: Boolean = true,
     ): Pair<GatewayFixture, List<ScriptedEndpoint>> {
         val endpoints =
             scripts.map { script ->
@@ -30,43 +30,43 @@
                     if (it.id ==
                         "ready"
                     ) {
-                        it.answer("")
+                        it.respond("")
                     } else {
                         script(it)
                     }
                 }
             }
-        return GatewayFixture(endpoints, repeats).also { scene = it } to endpoints
+        return GatewayFixture(endpoints, allowsRetries).also { fixture = it } to endpoints
     }
 
-    private val whole = "${WireSamples.WHOLE_PATH}a"
-    private val once = "${WireSamples.ONCE_PATH}a"
-    private val stream = "${WireSamples.STREAM_PATH}a"
+    private val unaryPath = "${WireSamples.WHOLE_PATH}a"
+    private val nonRetryablePath = "${WireSamples.ONCE_PATH}a"
+    private val streamPath = "${WireSamples.STREAM_PATH}a"
 
-    private fun status(answer: String) = answer.substringBefore("\r\n")
+    private fun status(response: String) = response.substringBefore("\r\n")
 
-    private fun bodyOf(answer: String) = answer.substringAfter("\r\n\r\n")
+    private fun bodyOf(response: String) = response.substringAfter("\r\n\r\n")
 
-    private fun List<ScriptedEndpoint>.requests() = sumOf { it.arrived.size }
+    private fun List<ScriptedEndpoint>.requestCount() = sumOf { it.requestHeads.size }
 
     @Nested
-    inner class `a whole answer` {
+    inner class `a unary response` {
         @Test
-        fun `comes back unchanged with its signature`() {
-            val (scene, endpoints) = scene({ it.answer("slate ${it.body}") })
-            val answer = scene.call(whole, "r-1", body = "grey")
-
-            expectThat(status(answer)).isEqualTo("HTTP/1.1 200 OK")
-            expectThat(bodyOf(answer)).isEqualTo("slate grey")
-            expectThat(answer.lowercase()).contains("seal-r-1")
-            expectThat(endpoints.requests()).isEqualTo(1)
+        fun `is returned unchanged with its signature`() {
+            val (fixture, endpoints) = start({ it.respond("slate ${it.body}") })
+            val response = fixture.call(unaryPath, "r-1", body = "grey")
+
+            expectThat(status(response)).isEqualTo("HTTP/1.1 200 OK")
+            expectThat(bodyOf(response)).isEqualTo("slate grey")
+            expectThat(response.lowercase()).contains("seal-r-1")
+            expectThat(endpoints.requestCount()).isEqualTo(1)
         }
 
         @Test
         fun `without a signature is not passed on`() {
-            val (scene, _) =
-                scene({
-                    it.answer(
+            val (fixture, _) =
+                start({
+                    it.respond(
                         "forged",
                         headers =
                             WireSamples.answerHeaders(it.id).filter { (_, value) ->
@@ -75,101 +75,101 @@
                             },
                     )
                 })
-            expectThat(status(scene.call(once, "r-1"))).isEqualTo("HTTP/1.1 502 Bad Gateway")
+            expectThat(status(fixture.call(nonRetryablePath, "r-1"))).isEqualTo("HTTP/1.1 502 Bad Gateway")
         }
 
         @Test
-        fun `that has no length and ends by a reset is not complete`() {
-            val (scene, _) =
-                scene({
+        fun `that has no length and ends with a connection reset is not complete`() {
+            val (fixture, _) =
+                start({
                     it.write(it.head("200 OK", WireSamples.answerHeaders(it.id)) + "half of")
                     TimeUnit.MILLISECONDS.sleep(50)
                     it.reset()
                 })
-            expectThat(status(scene.call(once, "r-1"))).isEqualTo("HTTP/1.1 502 Bad Gateway")
+            expectThat(status(fixture.call(nonRetryablePath, "r-1"))).isEqualTo("HTTP/1.1 502 Bad Gateway")
         }
 
         @Test
-        fun `of another request is dropped`() {
-            val (scene, _) =
-                scene({
-                    it.answer("late", headers = WireSamples.answerHeaders("r-0"))
-                    it.answer("own")
+        fun `to another request is discarded`() {
+            val (fixture, _) =
+                start({
+                    it.respond("late", headers = WireSamples.answerHeaders("r-0"))
+                    it.respond("own")
                 })
-            expectThat(bodyOf(scene.call(whole, "r-1"))).isEqualTo("own")
+            expectThat(bodyOf(fixture.call(unaryPath, "r-1"))).isEqualTo("own")
         }
 
         @Test
-        fun `with a second answer behind it does not spoil the next request`() {
-            val (scene, _) =
-                scene({
-                    it.answer("first")
-                    it.answer("second")
+        fun `followed by an unsolicited second response does not affect the next request`() {
+            val (fixture, _) =
+                start({
+                    it.respond("first")
+                    it.respond("second")
                 })
-            expectThat((1..5).map { bodyOf(scene.call(whole, "r-$it")) }).isEqualTo(List(5) { "first" })
+            expectThat((1..5).map { bodyOf(fixture.call(unaryPath, "r-$it")) }).isEqualTo(List(5) { "first" })
         }
     }
 
     @Nested
-    inner class `a request that may not be repeated` {
+    inner class `a request that can't be retried` {
         @Test
-        fun `is sent once if its connection ends without an answer, and no promise is made`() {
-            val (scene, endpoints) = scene({ it.socket.close() }, { it.socket.close() })
-            expectThat(status(scene.call(once, "r-1"))).isEqualTo("HTTP/1.1 502 Bad Gateway")
-            expectThat(endpoints.requests()).isEqualTo(1)
+        fun `is sent once if its connection closes without a response, and is not reported as not executed`() {
+            val (fixture, endpoints) = start({ it.socket.close() }, { it.socket.close() })
+            expectThat(status(fixture.call(nonRetryablePath, "r-1"))).isEqualTo("HTTP/1.1 502 Bad Gateway")
+            expectThat(endpoints.requestCount()).isEqualTo(1)
         }
 
         @Test
-        fun `goes to another endpoint if the first one states that it has not run it`() {
-            val turnAway: (ScriptedEndpoint.Served) -> Unit = {
-                it.answer("", "503 Service Unavailable", listOf(WireSamples.notRun()))
+        fun `goes to another endpoint if the first one states that it has not executed it`() {
+            val reject: (ScriptedEndpoint.ReceivedRequest) -> Unit = {
+                it.respond("", "503 Service Unavailable", listOf(WireSamples.notRun()))
             }
             val tried = CountDownLatch(1)
-            val (scene, _) =
-                scene({ if (tried.count > 0) tried.countDown().also { _ -> turnAway(it) } else it.answer("booked") }, {
-                    if (tried.count > 0) tried.countDown().also { _ -> turnAway(it) } else it.answer("booked")
+            val (fixture, _) =
+                start({ if (tried.count > 0) tried.countDown().also { _ -> reject(it) } else it.respond("booked") }, {
+                    if (tried.count > 0) tried.countDown().also { _ -> reject(it) } else it.respond("booked")
                 })
-            expectThat(bodyOf(scene.call(once, "r-1"))).isEqualTo("booked")
+            expectThat(bodyOf(fixture.call(nonRetryablePath, "r-1"))).isEqualTo("booked")
         }
 
         @Test
-        fun `is told not to have run if every endpoint states so`() {
-            val (scene, _) = scene({ it.answer("", "503 Service Unavailable", listOf(WireSamples.notRun())) })
-            val answer = scene.call(once, "r-1")
-            expectThat(status(answer)).isEqualTo("HTTP/1.1 503 Service Unavailable")
-            expectThat(answer.lowercase()).contains("retry-after:")
+        fun `is reported as not executed if every endpoint states so`() {
+            val (fixture, _) = start({ it.respond("", "503 Service Unavailable", listOf(WireSamples.notRun())) })
+            val response = fixture.call(nonRetryablePath, "r-1")
+            expectThat(status(response)).isEqualTo("HTTP/1.1 503 Service Unavailable")
+            expectThat(response.lowercase()).contains("retry-after:")
         }
 
         @Test
-        fun `gets no promise from an endpoint's 503 that does not state so`() {
-            val (scene, _) = scene({ it.answer("busy", "503 Service Unavailable") })
-            expectThat(status(scene.call(once, "r-1"))).isEqualTo("HTTP/1.1 502 Bad Gateway")
+        fun `is not reported as not executed for an endpoint's 503 that does not state so`() {
+            val (fixture, _) = start({ it.respond("busy", "503 Service Unavailable") })
+            expectThat(status(fixture.call(nonRetryablePath, "r-1"))).isEqualTo("HTTP/1.1 502 Bad Gateway")
         }
     }
 
     @Nested
-    inner class `a request that may be repeated` {
+    inner class `a request that can be retried` {
         @Test
         fun `runs at another endpoint if the first one fails`() {
             val failed = CountDownLatch(1)
-            val script: (ScriptedEndpoint.Served) -> Unit = {
-                if (failed.count > 0) failed.countDown().also { _ -> it.socket.close() } else it.answer("found")
+            val script: (ScriptedEndpoint.ReceivedRequest) -> Unit = {
+                if (failed.count > 0) failed.countDown().also { _ -> it.socket.close() } else it.respond("found")
             }
-            val (scene, endpoints) = scene(script, script)
-            expectThat(bodyOf(scene.call(whole, "r-1"))).isEqualTo("found")
-            expectThat(endpoints.map { it.arrived.size }).isEqualTo(listOf(1, 1))
+            val (fixture, endpoints) = start(script, script)
+            expectThat(bodyOf(fixture.call(unaryPath, "r-1"))).isEqualTo("found")
+            expectThat(endpoints.map { it.requestHeads.size }).isEqualTo(listOf(1, 1))
         }
 
         @Test
-        fun `gets the last endpoint's failure with its signature when all attempts fail`() {
-            val (scene, endpoints) =
-                scene({
-                    it.answer("broken", "500 Internal Server Error")
-                }, { it.answer("broken", "500 Internal Server Error") })
-            val answer = scene.call(whole, "r-1")
-            expectThat(status(answer)).isEqualTo("HTTP/1.1 500 Internal Server Error")
-            expectThat(bodyOf(answer)).isEqualTo("broken")
-            expectThat(endpoints.requests()).isEqualTo(2)
+        fun `gets the last endpoint's error response with its signature when all attempts fail`() {
+            val (fixture, endpoints) =
+                start({
+                    it.respond("broken", "500 Internal Server Error")
+                }, { it.respond("broken", "500 Internal Server Error") })
+            val response = fixture.call(unaryPath, "r-1")
+            expectThat(status(response)).isEqualTo("HTTP/1.1 500 Internal Server Error")
+            expectThat(bodyOf(response)).isEqualTo("broken")
+            expectThat(endpoints.requestCount()).isEqualTo(2)
         }
     }
 
@@ -179,12 +179,12 @@
 
         private fun chunk(text: String) = "${text.length.toString(16)}\r\n$text\r\n"
 
-        private fun ScriptedEndpoint.Served.begin(confidence: Int = 90): Unit =
+        private fun ScriptedEndpoint.ReceivedRequest.begin(confidence: Int = 90): Unit =
             write(head("200 OK", WireSamples.answerHeaders(id, confidence) + ("Transfer-Encoding" to "chunked")))
 
-        /** What the chunks of an answer hold. */
-        private fun unchunked(answer: String): String {
-            var rest = bodyOf(answer)
+        /** Decodes the chunked body of a response; marks a body without a last chunk. */
+        private fun decodeChunks(response: String): String {
+            var rest = bodyOf(response)
             val text = StringBuilder()
             while (true) {
                 val length = rest.substringBefore("\r\n").toIntOrNull(16) ?: return "$text (cut)"
@@ -196,8 +196,8 @@
         }
 
         @Test
-        fun `that breaks in the middle of an event goes on elsewhere, each event once`() {
-            val script: (ScriptedEndpoint.Served) -> Unit = {
+        fun `that breaks in the middle of an event resumes at another endpoint, with each event once`() {
+            val script: (ScriptedEndpoint.ReceivedRequest) -> Unit = {
                 it.begin()
                 if (WireSamples.resumesAfter(it.head).isEmpty()) {
                     it.write(chunk(events(1..3) + "id: 4\nda"))
@@ -207,62 +207,62 @@
                     it.write(chunk(events(3..6)) + "0\r\n\r\n")
                 }
             }
-            val (scene, endpoints) = scene(script, script)
-            expectThat(unchunked(scene.call(stream, "r-1"))).isEqualTo(events(1..6))
+            val (fixture, endpoints) = start(script, script)
+            expectThat(decodeChunks(fixture.call(streamPath, "r-1"))).isEqualTo(events(1..6))
             expectThat(
-                endpoints.flatMap { it.arrived }.map(WireSamples::resumesAfter).toSet(),
+                endpoints.flatMap { it.requestHeads }.map(WireSamples::resumesAfter).toSet(),
             ).isEqualTo(setOf("", "3"))
         }
 
         @Test
-        fun `that pauses is waited for where it could not be repeated, for want of a budget`() {
-            val script: (ScriptedEndpoint.Served) -> Unit = {
+        fun `that stalls is waited for if the retry budget allows no retry`() {
+            val script: (ScriptedEndpoint.ReceivedRequest) -> Unit = {
                 it.begin()
                 it.write(chunk(events(1..2)))
                 TimeUnit.MILLISECONDS.sleep(1_500)
                 it.write(chunk(events(3..4)) + "0\r\n\r\n")
             }
-            val (scene, endpoints) = scene(script, script, repeats = false)
+            val (fixture, endpoints) = start(script, script, allowsRetries = false)
 
-            expectThat(unchunked(scene.call(stream, "r-1"))).isEqualTo(events(1..4))
-            expectThat(endpoints.requests()).isEqualTo(1)
+            expectThat(decodeChunks(fixture.call(streamPath, "r-1"))).isEqualTo(events(1..4))
+            expectThat(endpoints.requestCount()).isEqualTo(1)
         }
 
         @Test
-        fun `that can't go on does not look complete`() {
-            val (scene, _) =
-                scene({
+        fun `that can't be resumed does not look complete`() {
+            val (fixture, _) =
+                start({
                     it.begin()
                     it.write(chunk(events(1..2)))
                     TimeUnit.MILLISECONDS.sleep(50)
                     it.socket.close()
                 })
-            expectThat(unchunked(scene.call(stream, "r-1"))).contains("(cut)")
+            expectThat(decodeChunks(fixture.call(streamPath, "r-1"))).contains("(cut)")
         }
 
         @Test
-        fun `of low confidence is dropped for a larger model before the caller has any of it`() {
-            val (scene, endpoints) =
-                scene({
+        fun `of low confidence is replaced by a larger model's before the caller has received any of it`() {
+            val (fixture, endpoints) =
+                start({
                     val small = WireSamples.model(it.head) == "m0"
                     it.begin(confidence = if (small) 10 else 95)
                     it.write(chunk(if (small) "id: 1\ndata: poor\n\n" else events(1..2)) + "0\r\n\r\n")
                 })
-            expectThat(unchunked(scene.call(stream, "r-1"))).isEqualTo(events(1..2))
-            expectThat(endpoints.flatMap { it.arrived }.map(WireSamples::model)).isEqualTo(listOf("m0", "m1"))
+            expectThat(decodeChunks(fixture.call(streamPath, "r-1"))).isEqualTo(events(1..2))
+            expectThat(endpoints.flatMap { it.requestHeads }.map(WireSamples::model)).isEqualTo(listOf("m0", "m1"))
         }
 
         @Test
-        fun `ends at the endpoint when the caller leaves`() {
+        fun `is cancelled at the endpoint when the caller disconnects`() {
             val ended = CountDownLatch(1)
-            val (scene, _) =
-                scene({
+            val (fixture, _) =
+                start({
                     it.begin()
                     it.write(chunk(events(1..1)))
                     if (it.socket.getInputStream().read() < 0) ended.countDown()
                 })
-            scene.connect().use { socket ->
-                socket.getOutputStream().write(scene.request(stream, "r-1").toByteArray())
+            fixture.connect().use { socket ->
+                socket.getOutputStream().write(fixture.request(streamPath, "r-1").toByteArray())
                 expectThat(socket.getInputStream().read()).isEqualTo('H'.code)
             }
             expectThat(ended.await(10, TimeUnit.SECONDS)).isEqualTo(true)
@@ -270,39 +270,39 @@
     }
 
     @Nested
-    inner class `a request that is not served` {
+    inner class `a rejected request` {
         @Test
-        fun `of an unknown key or route gets 401 or 404 and reaches nobody`() {
-            val (scene, endpoints) = scene({ it.answer("") })
-            val answers =
+        fun `with an unknown key, an unknown route or no id gets 401, 404 or 400 and reaches no endpoint`() {
+            val (fixture, endpoints) = start({ it.respond("") })
+            val responses =
                 listOf(
-                    scene.call(whole, "r-1", headers = WireSamples.callHeaders("r-1", key = "other")),
-                    scene.call("/elsewhere/", "r-2"),
-                    scene.call(whole, "r-3", headers = emptyList()),
+                    fixture.call(unaryPath, "r-1", headers = WireSamples.callHeaders("r-1", key = "other")),
+                    fixture.call("/elsewhere/", "r-2"),
+                    fixture.call(unaryPath, "r-3", headers = emptyList()),
                 )
-            expectThat(answers.map(::status))
+            expectThat(responses.map(::status))
                 .isEqualTo(listOf("HTTP/1.1 401 Unauthorized", "HTTP/1.1 404 Not Found", "HTTP/1.1 400 Bad Request"))
-            expectThat(endpoints.requests()).isEqualTo(0)
+            expectThat(endpoints.requestCount()).isEqualTo(0)
         }
 
         @Test
-        fun `states its length twice, gets 400 and carries nothing in`() {
-            val (scene, endpoints) = scene({ it.answer("") })
-            val smuggled = scene.request(whole, "r-2")
+        fun `with two lengths gets 400 and smuggles nothing in`() {
+            val (fixture, endpoints) = start({ it.respond("") })
+            val smuggled = fixture.request(unaryPath, "r-2")
             val text =
-                scene
-                    .request(whole, "r-1", body = smuggled, keepAlive = true)
+                fixture
+                    .request(unaryPath, "r-1", body = smuggled, keepAlive = true)
                     .replace("Host:", "Transfer-Encoding: chunked\r\nHost:")
-            expectThat(scene.exchange(text)).startsWith("HTTP/1.1 400 ")
-            expectThat(endpoints.requests()).isEqualTo(0)
+            expectThat(fixture.sendRaw(text)).startsWith("HTTP/1.1 400 ")
+            expectThat(endpoints.requestCount()).isEqualTo(0)
         }
 
         @Test
-        fun `is larger than the limits gets 413 or 431`() {
-            val (scene, _) = scene({ it.answer("") })
-            expectThat(scene.call(whole, "r-1", body = "x".repeat(100_001))).startsWith("HTTP/1.1 413 ")
+        fun `above the size limits gets 413 or 431`() {
+            val (fixture, _) = start({ it.respond("") })
+            expectThat(fixture.call(unaryPath, "r-1", body = "x".repeat(100_001))).startsWith("HTTP/1.1 413 ")
             val long = WireSamples.callHeaders("r-1") + ("X-Long" to "x".repeat(20_000))
-            expectThat(scene.call(whole, "r-1", headers = long)).startsWith("HTTP/1.1 431 ")
+            expectThat(fixture.call(unaryPath, "r-1", headers = long)).startsWith("HTTP/1.1 431 ")
         }
     }
 }
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/ScriptedEndpoint.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/ScriptedEndpoint.kt
@@ -9,12 +9,12 @@
 import java.util.concurrent.CopyOnWriteArrayList
 import kotlin.concurrent.thread
 
-/** An endpoint that answers each request with the bytes that a script writes, well-formed or not. */
+/** An endpoint whose response to each request is written by a script as raw bytes, well-formed or not. */
 internal class ScriptedEndpoint(
-    private val script: (Served) -> Unit,
+    private val script: (ReceivedRequest) -> Unit,
 ) : AutoCloseable {
-    /** One request as it arrived, and the connection to answer on. */
-    class Served(
+    /** A received request, and the connection to respond on. */
+    class ReceivedRequest(
         val head: List<String>,
         val body: String,
         val socket: Socket,
@@ -26,7 +26,7 @@
             socket.getOutputStream().flush()
         }
 
-        fun answer(
+        fun respond(
             body: String,
             status: String = "200 OK",
             headers: List<Pair<String, String>> = WireSamples.answerHeaders(id),
@@ -37,7 +37,7 @@
             headers: List<Pair<String, String>>,
         ): String = "HTTP/1.1 $status\r\n" + headers.joinToString("") { (name, value) -> "$name: $value\r\n" } + "\r\n"
 
-        /** Ends the connection by a reset instead of a proper end. */
+        /** Closes the connection with a TCP reset. */
         fun reset() {
             socket.setSoLinger(true, 0)
             socket.close()
@@ -47,8 +47,8 @@
     private val server = ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))
     val address: String get() = "127.0.0.1:${server.localPort}"
 
-    /** Heads of the requests that have arrived. */
-    val arrived = CopyOnWriteArrayList<List<String>>()
+    /** Heads of the received requests. */
+    val requestHeads = CopyOnWriteArrayList<List<String>>()
 
     init {
         thread(isDaemon = true) { accept() }
@@ -75,11 +75,11 @@
                         ?.trim()
                         ?.toInt()
                         ?: 0
-                arrived += head
-                script(Served(head, String(input.readNBytes(length)), socket))
+                requestHeads += head
+                script(ReceivedRequest(head, String(input.readNBytes(length)), socket))
             }
         } catch (_: SocketException) {
-            // The router has closed the connection, or the script has.
+            // The router or the script has closed the connection.
         }
     }
 
