--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
@@ -77,16 +77,16 @@
         val now = context.clock.nanos()
         val demand = exchange.selector.placementDemand(call.demand, model ?: call.demand.model)
         if (call.demand.promptTokens > 0) {
-            val cachedTokens = endpointState.cache.tokensHeld(demand.model, demand.promptParts)
+            val cachedTokens = endpointState.prefixCache.cachedTokens(demand.model, demand.promptParts)
             uncachedTokens = (demand.promptTokens - cachedTokens).coerceAtLeast(0)
-            prefillMillis = endpointState.speed.millis(demand.model, uncachedTokens)
-            endpointState.cache.read(demand.model, demand.promptParts)
+            prefillMillis = endpointState.prefillSpeed.estimateMillis(demand.model, uncachedTokens)
+            endpointState.prefixCache.recordPrefill(demand.model, demand.promptParts)
         }
-        endpointState.started(prefillMillis)
+        endpointState.recordStart(prefillMillis)
         call.demand.session?.let { context.rollOuts.runStarted(call.service, it, listing.version) }
         context.peers.announcePrefillStart(prefillKey(), listing.id, prefillMillis)
-        if (endpointState.cold.cold(now)) {
-            endpointState.cold.sent(
+        if (endpointState.warmUp.isCold(now)) {
+            endpointState.warmUp.recordSent(
                 now,
                 call.configuration.services[call.service]?.coldRequestsPerSecond ?: 0.0,
                 context.routing.routerCount,
@@ -137,8 +137,8 @@
             }
             return HeadAction.SKIP
         }
-        signals.load?.let { endpointState.reported(it, context.clock.nanos()) }
-        signals.coldLeft?.let { endpointState.cold.coldUntil(context.clock.nanos() + it.inWholeNanoseconds) }
+        signals.load?.let { endpointState.recordLoad(it, context.clock.nanos()) }
+        signals.coldLeft?.let { endpointState.warmUp.extendTo(context.clock.nanos() + it.inWholeNanoseconds) }
         this.status = status
         this.headers = WireCalls.toCaller(headers)
         stage = stageOf(status, signals, headers)
@@ -174,7 +174,7 @@
         recordFirstResponse()
         endPrefill()
         firstResponseMillis?.let {
-            endpointState.speed.observed(model ?: call.demand.model.orEmpty(), uncachedTokens, it)
+            endpointState.prefillSpeed.record(model ?: call.demand.model.orEmpty(), uncachedTokens, it)
         }
         val larger = exchange.chooseLargerModel(this, signals.confidence)
         if (larger != null) {
@@ -190,7 +190,7 @@
     private fun endPrefill() {
         if (prefillEnded) return
         prefillEnded = true
-        endpointState.readingEnded(prefillMillis)
+        endpointState.recordPrefillEnd(prefillMillis)
         context.peers.announcePrefillEnd(prefillKey(), endpointState.listing.id, prefillMillis)
     }
 
@@ -300,22 +300,22 @@
         stage = Stage.SETTLED
         context.watchdog.release(this)
         endPrefill()
-        endpointState.ended()
+        endpointState.recordEnd()
         call.demand.session?.let { context.rollOuts.runEnded(call.service, it, endpointState.listing.version) }
     }
 
     private fun recordSuccess() {
-        endpointState.succeeded(context.clock.nanos())
+        endpointState.recordSuccess(context.clock.nanos())
     }
 
     private fun recordFailure() {
-        if (endpointState.failed(context.clock.nanos(), context.random)) {
+        if (endpointState.recordFailure(context.clock.nanos(), context.random)) {
             LogEvent.ENDPOINT_EJECTED.log(logger) { "endpoint=${endpointState.listing.id} service=${call.service}" }
         }
     }
 
     private fun recordUnreachable() {
-        if (endpointState.unreachable(context.clock.nanos(), context.random)) {
+        if (endpointState.recordUnreachable(context.clock.nanos(), context.random)) {
             LogEvent.ENDPOINT_EJECTED.log(
                 logger,
             ) { "endpoint=${endpointState.listing.id} service=${call.service} unreachable" }
@@ -342,7 +342,7 @@
      * as stalled sooner.
      */
     private fun eventGapTimeout(now: Long): Duration =
-        if (endpointState.waitingMillis(now) > DELAYING_PREFILL_MILLIS) {
+        if (endpointState.prefillBacklogMillis(now) > DELAYING_PREFILL_MILLIS) {
             EVENT_GAP_TIMEOUT_DURING_PREFILL
         } else {
             EVENT_GAP_TIMEOUT
@@ -361,7 +361,7 @@
     private fun firstResponseTimeout(): Duration =
         if (call.demand.promptTokens > 0) {
             FIRST_EVENT_TIMEOUT +
-                endpointState.waitingMillis(context.clock.nanos()).milliseconds * PREFILL_SAFETY_FACTOR
+                endpointState.prefillBacklogMillis(context.clock.nanos()).milliseconds * PREFILL_SAFETY_FACTOR
         } else {
             (call.route.latencyObjective * OBJECTIVES_UNTIL_RETRY).coerceAtLeast(MIN_FIRST_RESPONSE_TIMEOUT)
         }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.call
 
 import dev.almondhaven.decision.traffic.EndpointPlacement
-import dev.almondhaven.decision.traffic.ModelSizing
+import dev.almondhaven.decision.traffic.ModelCascade
 import dev.almondhaven.gateway.peer.PeerMessenger
 import dev.almondhaven.gateway.state.ConfigurationWatcher
 import dev.almondhaven.gateway.state.Lifecycle
@@ -17,7 +17,7 @@
     val configurationWatcher: ConfigurationWatcher,
     val rollOuts: RollOutController,
     val placement: EndpointPlacement,
-    val sizing: ModelSizing,
+    val sizing: ModelCascade,
     val peers: PeerMessenger,
     val watchdog: Watchdog,
     val lifecycle: Lifecycle,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
@@ -34,7 +34,7 @@
         writer: ResponseWriter,
     ): InFlightRequest =
         admission.admit(request).fold({ reject(request, writer, it) }) { call ->
-            context.routing.retryBudgetOf(call.service).requested(context.clock.nanos())
+            context.routing.retryBudgetOf(call.service).recordRequest(context.clock.nanos())
             Exchange(context, selector, call, writer).also { it.start() }
         }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.call
 
-import dev.almondhaven.decision.traffic.PlacingDemand
-import dev.almondhaven.decision.traffic.VersionChoice
+import dev.almondhaven.decision.traffic.PlacementRequest
+import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.state.EndpointHandle
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.traffic.CallDemand
@@ -16,11 +16,11 @@
      */
     fun eligibleEndpoints(
         call: AdmittedCall,
-        versions: VersionChoice,
+        versions: VersionConstraint,
     ): List<EndpointHandle> {
         val accepting = context.routing.endpointsOf(call.service).filter(::acceptsRequests)
         val preferred = accepting.filter { versions.allows(it.state.listing.version) }
-        return if (preferred.isEmpty() && versions.bindsOnlyIfListed) accepting else preferred
+        return if (preferred.isEmpty() && versions.allowsFallback) accepting else preferred
     }
 
     private fun acceptsRequests(endpoint: EndpointHandle): Boolean {
@@ -32,7 +32,7 @@
     fun choose(
         eligible: List<EndpointHandle>,
         tried: Set<EndpointId>,
-        demand: PlacingDemand,
+        demand: PlacementRequest,
     ): EndpointHandle? {
         val untriedEndpoints = eligible.filter { it.state.listing.id !in tried }
         return best(untriedEndpoints, demand) ?: best(eligible - untriedEndpoints.toSet(), demand)
@@ -41,16 +41,16 @@
     /** Milliseconds until the best of [eligible] is expected to begin its response. */
     fun expectedMillis(
         eligible: List<EndpointHandle>,
-        demand: PlacingDemand,
-    ): Double = context.placement.expectedMillis(eligible.map { it.state }, demand, context.clock.nanos())
+        demand: PlacementRequest,
+    ): Double = context.placement.expectedFirstTokenMillis(eligible.map { it.state }, demand, context.clock.nanos())
 
     /** Average backlog of queued prefill at one of [eligible], in milliseconds. */
     fun backlogMillis(eligible: List<EndpointHandle>): Double =
-        context.placement.backlogMillis(eligible.map { it.state }, context.clock.nanos())
+        context.placement.averagePrefillBacklogMillis(eligible.map { it.state }, context.clock.nanos())
 
     private fun best(
         candidates: List<EndpointHandle>,
-        demand: PlacingDemand,
+        demand: PlacementRequest,
     ): EndpointHandle? {
         val chosen = context.placement.choose(candidates.map { it.state }, demand, context.clock.nanos()) ?: return null
         return candidates.first { it.state === chosen }
@@ -60,9 +60,9 @@
     fun placementDemand(
         demand: CallDemand,
         model: String?,
-    ): PlacingDemand {
+    ): PlacementRequest {
         val sharedPrefix = demand.promptParts.dropLast(1).lastOrNull()
-        return PlacingDemand(
+        return PlacementRequest(
             model.orEmpty(),
             demand.promptTokens,
             demand.promptParts,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.call
 
-import dev.almondhaven.decision.traffic.SizingOutlook
-import dev.almondhaven.decision.traffic.VersionChoice
+import dev.almondhaven.decision.traffic.EscalationConditions
+import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.net.InFlightRequest
 import dev.almondhaven.gateway.net.ResponseWriter
 import dev.almondhaven.model.EndpointId
@@ -61,7 +61,7 @@
         val routerChoosesModel = call.route.models.isNotEmpty() && call.demand.model == CallDemand.ANY_MODEL
         if (routerChoosesModel) {
             model =
-                context.sizing.first(
+                context.sizing.firstModel(
                     call.route.models,
                     call.route.latencyObjective.inWholeMilliseconds,
                     ::expectedMillis,
@@ -120,16 +120,17 @@
     ): String? {
         val currentModel = attempt.model ?: return null
         val outlook = outlook()
-        backlogMillis = outlook.backlogMillis.toInt()
+        backlogMillis = outlook.prefillBacklogMillis.toInt()
         if (responseStarted || executions + 2 > call.route.mostAttempts) return null
-        val larger = context.sizing.instead(call.route.models, currentModel, confidence, outlook) ?: return null
+        val larger =
+            context.sizing.escalationTarget(call.route.models, currentModel, confidence, outlook) ?: return null
         return larger.takeIf { spendRetry(ESCALATION_BUDGET_SHARE) }
     }
 
-    private fun outlook(): SizingOutlook {
+    private fun outlook(): EscalationConditions {
         val timeToObjective = call.route.latencyObjective - context.clock.elapsed(call.request.receivedAt)
         val backlog = selector.backlogMillis(selector.eligibleEndpoints(call, versions()))
-        return SizingOutlook(timeToObjective.inWholeMilliseconds.toDouble(), backlog, ::expectedMillis)
+        return EscalationConditions(timeToObjective.inWholeMilliseconds.toDouble(), backlog, ::expectedMillis)
     }
 
     private fun expectedMillis(model: String): Double =
@@ -138,7 +139,7 @@
             selector.placementDemand(call.demand, model),
         )
 
-    private fun versions(): VersionChoice = context.rollOuts.versionFor(call.service, call.demand.session, call.id)
+    private fun versions(): VersionConstraint = context.rollOuts.versionFor(call.service, call.demand.session, call.id)
 
     fun onAttemptEnd(
         ended: Attempt,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessenger.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/peer/PeerMessenger.kt
@@ -123,11 +123,11 @@
     }
 
     private fun applyPrefill(announcement: PrefillAnnouncement) {
-        val remotePrefills = routing.endpoint(EndpointId(announcement.endpoint))?.state?.remoteReading ?: return
+        val remotePrefills = routing.endpoint(EndpointId(announcement.endpoint))?.state?.remotePrefills ?: return
         if (announcement.millis > 0) {
-            remotePrefills.began(announcement.key, announcement.millis.toDouble(), clock.nanos())
+            remotePrefills.add(announcement.key, announcement.millis.toDouble(), clock.nanos())
         } else {
-            remotePrefills.ended(announcement.key)
+            remotePrefills.remove(announcement.key)
         }
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ConfigurationWatcher.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ConfigurationWatcher.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.gateway.state
 
-import dev.almondhaven.decision.traffic.FreshnessProof
+import dev.almondhaven.decision.traffic.ConfigurationAge
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.platform.StoreCall
@@ -37,11 +37,11 @@
         fun plus(span: Duration) = Moment(steadyNanos + span.inWholeNanoseconds, wallMillis + span.inWholeMilliseconds)
     }
 
-    private val proof = FreshnessProof(bounds.revocation - REVOCATION_MARGIN)
+    private val proof = ConfigurationAge(bounds.revocation - REVOCATION_MARGIN)
     private var wasFresh = false
 
     /** Whether the last proof is recent enough to serve requests with API keys. */
-    val isFresh: Boolean get() = proof.holds(clock.nanos(), wallMillis())
+    val isFresh: Boolean get() = proof.isFresh(clock.nanos(), wallMillis())
 
     fun proofAge(): Duration = proof.age(clock.nanos(), wallMillis())
 
@@ -89,7 +89,7 @@
         }
     }
 
-    private fun recordProof(moment: Moment): Unit = proof.prove(moment.steadyNanos, moment.wallMillis)
+    private fun recordProof(moment: Moment): Unit = proof.confirm(moment.steadyNanos, moment.wallMillis)
 
     private fun schedule(
         delay: Duration,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/EndpointHandle.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/EndpointHandle.kt
@@ -1,11 +1,11 @@
 package dev.almondhaven.gateway.state
 
-import dev.almondhaven.decision.traffic.EndpointBelief
+import dev.almondhaven.decision.traffic.EndpointView
 import dev.almondhaven.gateway.net.ConnectionPool
 
 /** A listed endpoint with its connection pool. */
 internal class EndpointHandle(
-    val state: EndpointBelief,
+    val state: EndpointView,
     val pool: ConnectionPool,
 ) {
     /** Monotonic time in nanoseconds until which a lapsed entry may reappear in the list; null while it is listed. */
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOutController.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOutController.kt
@@ -1,11 +1,11 @@
 package dev.almondhaven.gateway.state
 
 import com.google.common.hash.Hashing
-import dev.almondhaven.decision.traffic.CurrentSession
-import dev.almondhaven.decision.traffic.RollOutEvidence
-import dev.almondhaven.decision.traffic.RollOutPlan
+import dev.almondhaven.decision.traffic.ActiveSession
+import dev.almondhaven.decision.traffic.CanaryComparison
+import dev.almondhaven.decision.traffic.RollOutSchedule
 import dev.almondhaven.decision.traffic.SessionVersions
-import dev.almondhaven.decision.traffic.VersionChoice
+import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.peer.SessionAnnouncement
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
@@ -39,8 +39,8 @@
         var order: RollOutOrder,
         val startedAt: Long,
     ) {
-        val plan = RollOutPlan(order.within)
-        val evidence = RollOutEvidence()
+        val plan = RollOutSchedule(order.within)
+        val evidence = CanaryComparison()
         var requestedState: RollOutState? = null
     }
 
@@ -87,11 +87,11 @@
         service: ServiceId,
         session: String?,
         requestId: String,
-    ): VersionChoice {
-        val rollOut = activeRollOuts[service] ?: return VersionChoice.Any
-        val old = VersionChoice.Except(rollOut.order.target)
-        val new = VersionChoice.Only(rollOut.order.target)
-        val never = VersionChoice.Except(rollOut.order.target, strict = true)
+    ): VersionConstraint {
+        val rollOut = activeRollOuts[service] ?: return VersionConstraint.Any
+        val old = VersionConstraint.Except(rollOut.order.target)
+        val new = VersionConstraint.Only(rollOut.order.target)
+        val never = VersionConstraint.Except(rollOut.order.target, strict = true)
         return when (rollOut.order.state) {
             RollOutState.DONE -> {
                 new
@@ -117,12 +117,12 @@
         rollOut: ActiveRollOut,
         session: String?,
         requestId: String,
-        old: VersionChoice,
-        new: VersionChoice,
-    ): VersionChoice {
+        old: VersionConstraint,
+        new: VersionConstraint,
+    ): VersionConstraint {
         val elapsed = clock.elapsed(rollOut.startedAt)
         val chosen = if (hashFraction(session ?: requestId) < rollOut.plan.share(elapsed)) new else old
-        if (session == null || rollOut.plan.mayMove(elapsed)) return chosen
+        if (session == null || rollOut.plan.allowsSessionMoves(elapsed)) return chosen
         val currentVersion = sessionsOf(rollOut.order.service).versionOf(session, clock.nanos()) ?: return chosen
         return if (currentVersion == rollOut.order.target) new else old
     }
@@ -136,8 +136,8 @@
         session: String,
         version: String,
     ) {
-        sessionsOf(service).began(session, version, clock.nanos())
-        announceIfPinned(service, CurrentSession(session, version, running = true))
+        sessionsOf(service).recordStart(session, version, clock.nanos())
+        announceIfPinned(service, ActiveSession(session, version, isRunning = true))
     }
 
     /** Records that a request of [session] has ended at an endpoint of [version]. */
@@ -146,13 +146,13 @@
         session: String,
         version: String,
     ) {
-        sessionsOf(service).ended(session, clock.nanos())
-        announceIfPinned(service, CurrentSession(session, version, running = false))
+        sessionsOf(service).recordEnd(session, clock.nanos())
+        announceIfPinned(service, ActiveSession(session, version, isRunning = false))
     }
 
     /** Applies what another router announced about a session. */
     fun applyAnnouncement(announcement: SessionAnnouncement): Unit =
-        sessionsOf(ServiceId(announcement.service)).heard(
+        sessionsOf(ServiceId(announcement.service)).recordRemoteRun(
             announcement.session,
             announcement.version,
             announcement.running,
@@ -161,18 +161,18 @@
 
     /** Announces which sessions must not move to the new version yet, since their requests may reach any router. */
     private fun announceCurrentSessions(order: RollOutOrder): Unit =
-        sessionsOf(order.service).current(clock.nanos()).forEach { announceIfPinned(order.service, it) }
+        sessionsOf(order.service).activeSessions(clock.nanos()).forEach { announceIfPinned(order.service, it) }
 
     private fun announceIfPinned(
         service: ServiceId,
-        session: CurrentSession,
+        session: ActiveSession,
     ) {
         val rollOut = activeRollOuts[service] ?: return
         val elapsed = clock.elapsed(rollOut.startedAt)
         val isFinal = rollOut.order.state == RollOutState.DONE || rollOut.order.state == RollOutState.ROLLED_BACK
-        if (isFinal || rollOut.plan.mayMove(elapsed) || session.version == rollOut.order.target) return
+        if (isFinal || rollOut.plan.allowsSessionMoves(elapsed) || session.version == rollOut.order.target) return
         if (hashFraction(session.id) < rollOut.plan.share(elapsed)) {
-            announce(SessionAnnouncement(service.value, session.id, session.version, session.running))
+            announce(SessionAnnouncement(service.value, session.id, session.version, session.isRunning))
         }
     }
 
@@ -190,7 +190,7 @@
         val rollOut = activeRollOuts[service] ?: return
         if (rollOut.order.state == RollOutState.DONE || rollOut.order.state == RollOutState.ROLLED_BACK) return
         rollOut.evidence.record(version == rollOut.order.target, failed)
-        if (failed && version == rollOut.order.target && rollOut.evidence.newIsBad()) {
+        if (failed && version == rollOut.order.target && rollOut.evidence.isCanaryWorse()) {
             requestState(rollOut, RollOutState.ROLLED_BACK)
         }
     }
@@ -201,7 +201,7 @@
             val elapsed = clock.elapsed(rollOut.startedAt)
             when {
                 state == RollOutState.DONE || state == RollOutState.ROLLED_BACK -> Unit
-                rollOut.plan.complete(elapsed) -> requestState(rollOut, RollOutState.DONE)
+                rollOut.plan.isComplete(elapsed) -> requestState(rollOut, RollOutState.DONE)
                 state == RollOutState.ORDERED -> requestState(rollOut, RollOutState.RUNNING)
             }
         }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RoutingState.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RoutingState.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.gateway.state
 
-import dev.almondhaven.decision.traffic.EndpointBelief
-import dev.almondhaven.decision.traffic.RepeatWindow
+import dev.almondhaven.decision.traffic.EndpointView
+import dev.almondhaven.decision.traffic.SlidingRetryBudget
 import dev.almondhaven.gateway.net.ConnectionPool
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.LogEvent
@@ -62,13 +62,13 @@
     /** Known endpoints of [service], including lapsed ones that may be listed again. */
     fun endpointsOf(service: ServiceId): Collection<EndpointHandle> = services[service]?.endpoints?.values.orEmpty()
 
-    fun retryBudgetOf(service: ServiceId): RepeatWindow = serviceEndpoints(service).retryBudget
+    fun retryBudgetOf(service: ServiceId): SlidingRetryBudget = serviceEndpoints(service).retryBudget
 
     private fun serviceEndpoints(service: ServiceId): ServiceEndpoints =
         services.getOrPut(service) {
             ServiceEndpoints(service) {
                 val slack = bounds.retrySlack * USED_BUDGET_SHARE / routerCount
-                RepeatWindow(bounds.retryWindow, bounds.retryRatio * USED_BUDGET_SHARE, slack)
+                SlidingRetryBudget(bounds.retryWindow, bounds.retryRatio * USED_BUDGET_SHARE, slack)
             }
         }
 
@@ -127,7 +127,7 @@
                 ?.memoryTokens ?: DEFAULT_KV_CACHE_TOKENS
         endpoint =
             EndpointHandle(
-                EndpointBelief(
+                EndpointView(
                     listing,
                     serviceEndpoints(listing.service).ejectionGroup,
                     kvCacheTokens,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ServiceEndpoints.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ServiceEndpoints.kt
@@ -1,8 +1,8 @@
 package dev.almondhaven.gateway.state
 
 import dev.almondhaven.decision.endpoint.EjectionGroup
-import dev.almondhaven.decision.traffic.EngineSpeed
-import dev.almondhaven.decision.traffic.RepeatWindow
+import dev.almondhaven.decision.traffic.PrefillSpeed
+import dev.almondhaven.decision.traffic.SlidingRetryBudget
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.ServiceId
 
@@ -11,17 +11,17 @@
  */
 internal class ServiceEndpoints(
     val service: ServiceId,
-    newRetryBudget: () -> RepeatWindow,
+    newRetryBudget: () -> SlidingRetryBudget,
 ) {
     /** Created with the first request, when the number of routers that share the budget is known. */
-    val retryBudget: RepeatWindow by lazy(LazyThreadSafetyMode.NONE, newRetryBudget)
+    val retryBudget: SlidingRetryBudget by lazy(LazyThreadSafetyMode.NONE, newRetryBudget)
 
     /**
      * Nearly all endpoints may be ejected: a router in a failure domain that is cut off reaches only the endpoints
      * there.
      */
     val ejectionGroup = EjectionGroup(MAX_EJECTED_SHARE)
-    val engineSpeed = EngineSpeed()
+    val engineSpeed = PrefillSpeed()
     val endpoints = LinkedHashMap<EndpointId, EndpointHandle>()
 
     private companion object {
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/Billing.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingController.kt
@@ -5,8 +5,8 @@
 import dev.almondhaven.billing.BillingRecord
 import dev.almondhaven.billing.SealedBatch
 import dev.almondhaven.decision.billing.BillingOutbox
-import dev.almondhaven.decision.billing.HeldCopies
 import dev.almondhaven.decision.billing.OutboxLimits
+import dev.almondhaven.decision.billing.PeerBatchCopies
 import dev.almondhaven.decision.membership.Member
 import dev.almondhaven.decision.membership.RendezvousHash
 import dev.almondhaven.model.LogEvent
@@ -14,7 +14,7 @@
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.peer.PeerProtocol
 import dev.almondhaven.router.RouterMetrics
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.peer.PeerError
 import dev.almondhaven.router.peer.PeerNetwork
 import dev.almondhaven.router.settings.BillingSettings
@@ -34,15 +34,15 @@
  * and stored by the one router that writes for the failure domain; whatever is stored twice is billed once, since a
  * batch never changes.
  */
-internal class Billing(
+internal class BillingController(
     settings: BillingSettings,
     objects: ObjectStore,
     private val clock: NanoClock,
     private val network: PeerNetwork,
     metrics: RouterMetrics,
 ) : AutoCloseable {
-    private val outbox = BillingOutbox(network.self.id, OutboxLimits(records = settings.records))
-    private val copies = HeldCopies(settings.records)
+    private val outbox = BillingOutbox(network.self.id, OutboxLimits(maxRecords = settings.records))
+    private val copies = PeerBatchCopies(settings.records)
     private val mostCopies = settings.records
     private val askedBy = ConcurrentHashMap<BatchName, Member>()
     private val released = ArrayList<BatchName>()
@@ -51,20 +51,26 @@
 
     /** Touched by the duty's thread only. */
     private var closing = false
-    private val duty = DutyThread.start("billing", RING, TICK, ::tick, ::take)
+    private val duty = ActorThread.start("billing", RING, TICK, ::tick, ::take)
 
     init {
         network.handlers.register(HOLD_PATH, ::answerHold)
         network.handlers.register(STORE_PATH, ::answerStore)
         network.handlers.register(STORED_PATH, ::answerStored)
         network.handlers.register(HAND_OVER_PATH, ::answerHandOver)
-        metrics.gauge("almondhaven_billing_records_held", "Billing records that the platform doesn't hold yet.") {
+        metrics.registerGauge(
+            "almondhaven_billing_records_held",
+            "Billing records that the platform doesn't hold yet.",
+        ) {
             outbox.held.toDouble()
         }
-        metrics.gauge("almondhaven_billing_copies_held", "Copies of other routers' billing records.") {
+        metrics.registerGauge("almondhaven_billing_copies_held", "Copies of other routers' billing records.") {
             copies.records.toDouble()
         }
-        metrics.gauge("almondhaven_billing_records_overflowed", "Billing records that were lost for want of room.") {
+        metrics.registerGauge(
+            "almondhaven_billing_records_overflowed",
+            "Billing records that were lost for want of room.",
+        ) {
             (outbox.overflowed + duty.rejected).toDouble()
         }
     }
@@ -90,18 +96,18 @@
     }
 
     private fun stored(message: BillingMessage.Stored) {
-        message.names.forEach { if (outbox.stored(it)) released += it }
-        outbox.resendNow(clock.nanos())
+        message.names.forEach { if (outbox.markStored(it)) released += it }
+        outbox.resetResendDelays(clock.nanos())
     }
 
     /** Stores everything by this router itself: the router that writes for the failure domain may be stopping too. */
     private fun flush() {
         closing = true
         seal(force = true)
-        outbox.makeAllDue(clock.nanos())
+        outbox.resendAllNow(clock.nanos())
     }
 
-    private fun holdCopies(message: HoldCopies) {
+    private fun holdCopies(message: HoldCopiesRequest) {
         copies.release(message.released)
         message.batches.forEach { copies.hold(it) }
     }
@@ -109,7 +115,7 @@
     private fun tick() {
         seal(force = false)
         copyToPeer()
-        outbox.due(clock.nanos(), BATCHES_AT_ONCE).forEach(::sendToWriter)
+        outbox.takeDue(clock.nanos(), BATCHES_AT_ONCE).forEach(::sendToWriter)
         val live = live()
         copies.takeOrphans(live, clock.nanos()).forEach(::adopt)
     }
@@ -134,7 +140,7 @@
         }
         val parts =
             batches.chunked(BATCHES_AT_ONCE).map { part ->
-                post(peer, HAND_OVER_PATH, HandedOverBatches(part), HandedOverBatches.serializer())
+                post(peer, HAND_OVER_PATH, HandOverRequest(part), HandOverRequest.serializer())
             }
         CompletableFuture.allOf(*parts.toTypedArray()).whenComplete { _, error ->
             message.done.complete(error == null && parts.all { accepted(it.join()) })
@@ -149,11 +155,11 @@
     /** Sends a peer copies of what it doesn't hold, and tells it what it need not hold any longer. */
     private fun copyToPeer() {
         val peer = peerForCopies() ?: return
-        val batches = outbox.uncopied(live(), BATCHES_AT_ONCE).filter { asked.add(it.name) }
+        val batches = outbox.withoutCopy(live(), BATCHES_AT_ONCE).filter { asked.add(it.name) }
         if (batches.isEmpty() && released.size < RELEASED_AT_ONCE) return
-        val message = HoldCopies(batches, released.toList())
+        val message = HoldCopiesRequest(batches, released.toList())
         released.clear()
-        post(peer, HOLD_PATH, message, HoldCopies.serializer()).whenComplete { answer, _ ->
+        post(peer, HOLD_PATH, message, HoldCopiesRequest.serializer()).whenComplete { answer, _ ->
             duty.offer(BillingMessage.Copied(batches.map { it.name }, peer.id.takeIf { accepted(answer) }))
         }
     }
@@ -165,7 +171,7 @@
 
     private fun copied(message: BillingMessage.Copied) {
         asked -= message.names.toSet()
-        message.holder?.let { holder -> message.names.forEach { outbox.copied(it, holder) } }
+        message.holder?.let { holder -> message.names.forEach { outbox.markCopied(it, holder) } }
     }
 
     private fun sendToWriter(batch: SealedBatch) {
@@ -174,17 +180,17 @@
         if (closing || chosen == null || chosen.id == network.self.id) {
             writer.offer(batch)
         } else {
-            post(chosen, STORE_PATH, StoreBatch(network.self, batch), StoreBatch.serializer())
+            post(chosen, STORE_PATH, StoreBatchRequest(network.self, batch), StoreBatchRequest.serializer())
         }
     }
 
     /** Runs on the writer's thread. */
     private fun stored(names: List<BatchName>) {
         duty.offer(BillingMessage.Stored(names))
-        duty.offer(BillingMessage.Held(HoldCopies(released = names)))
+        duty.offer(BillingMessage.Held(HoldCopiesRequest(released = names)))
         val byAsker = names.mapNotNull { name -> askedBy.remove(name)?.let { it to name } }
         byAsker.groupBy({ it.first }, { it.second }).forEach { (asker, theirs) ->
-            post(asker, STORED_PATH, BatchesStored(theirs), BatchesStored.serializer())
+            post(asker, STORED_PATH, BatchesStoredNotice(theirs), BatchesStoredNotice.serializer())
         }
     }
 
@@ -198,17 +204,17 @@
 
     private fun accepted(answer: Either<PeerError, String>?): Boolean {
         val text = answer?.getOrNull() ?: return false
-        return PeerProtocol.json.decodeFromString(BillingAccepted.serializer(), text).accepted
+        return PeerProtocol.json.decodeFromString(BillingAcknowledgement.serializer(), text).accepted
     }
 
     private fun answerHold(body: String): String {
-        val message = PeerProtocol.json.decodeFromString(HoldCopies.serializer(), body)
+        val message = PeerProtocol.json.decodeFromString(HoldCopiesRequest.serializer(), body)
         val room = copies.records + message.batches.sumOf { it.records.size } <= mostCopies
         return accepted(room && duty.offer(BillingMessage.Held(message)))
     }
 
     private fun answerStore(body: String): String {
-        val message = PeerProtocol.json.decodeFromString(StoreBatch.serializer(), body)
+        val message = PeerProtocol.json.decodeFromString(StoreBatchRequest.serializer(), body)
         // An asker that is forgotten sends its batch again.
         if (askedBy.size > MOST_ASKERS) askedBy.clear()
         askedBy[message.batch.name] = message.from
@@ -218,17 +224,17 @@
     }
 
     private fun answerStored(body: String): String {
-        val message = PeerProtocol.json.decodeFromString(BatchesStored.serializer(), body)
+        val message = PeerProtocol.json.decodeFromString(BatchesStoredNotice.serializer(), body)
         return accepted(duty.offer(BillingMessage.Stored(message.names)))
     }
 
     private fun answerHandOver(body: String): String {
-        val message = PeerProtocol.json.decodeFromString(HandedOverBatches.serializer(), body)
+        val message = PeerProtocol.json.decodeFromString(HandOverRequest.serializer(), body)
         return accepted(duty.offer(BillingMessage.HandedOver(message.batches)))
     }
 
     private fun accepted(taken: Boolean): String =
-        PeerProtocol.json.encodeToString(BillingAccepted.serializer(), BillingAccepted(taken))
+        PeerProtocol.json.encodeToString(BillingAcknowledgement.serializer(), BillingAcknowledgement(taken))
 
     /** Seals what is open, waits a while for the platform to hold everything, and hands a peer what is left. */
     override fun close() {
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
@@ -24,7 +24,7 @@
 
 /** Claims non-idempotent calls before they go on, so that each key is dispatched at most once over the whole fleet. */
 internal class ClaimFilter(
-    private val peers: ClaimPeers,
+    private val peers: ClaimPeerProtocol,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
     private val wallMillis: () -> Long,
@@ -39,7 +39,7 @@
         return place(exchange, call).fold(
             { Answer.Refused(it).completed() },
             { (shard, request) ->
-                ClaimedCall(shard, request, dispatchBy(exchange), exchange, next, peers, ledger, clock).start()
+                ClaimedCallExecution(shard, request, dispatchBy(exchange), exchange, next, peers, ledger, clock).start()
             },
         )
     }
@@ -57,7 +57,7 @@
         }
         val key = ClaimKey(exchange.organisation.id, call.service, text)
         return when (val placement = ClaimPlacement.of(key, wallMillis())) {
-            is ClaimPlacement.In -> {
+            is ClaimPlacement.InShard -> {
                 PlacedRequest(placement.shard, request(exchange, call, key)).right()
             }
 
@@ -66,9 +66,9 @@
                     .left()
             }
 
-            is ClaimPlacement.Ahead -> {
-                if (placement.certain) exchange.journal.recordFirstUse()
-                val outcome = if (placement.certain) Outcome.NOT_RUN else Outcome.UNKNOWN
+            is ClaimPlacement.InFuture -> {
+                if (placement.neverAccepted) exchange.journal.recordFirstUse()
+                val outcome = if (placement.neverAccepted) Outcome.NOT_RUN else Outcome.UNKNOWN
                 Refusal(ResultCode.CLAIM_KEY_AHEAD, "the key's time is in the future", outcome).left()
             }
         }
@@ -81,7 +81,7 @@
     ): ClaimRequest {
         val line = "${exchange.method} ${call.path}\n".toByteArray()
         val body = Digest.of(line + exchange.body.array())
-        return ClaimRequest(key.digest, body, wallMillis(), exchange.journal.firstUseProven)
+        return ClaimRequest(key.digest, body, wallMillis(), exchange.journal.firstUseConfirmed)
     }
 
     private data class PlacedRequest(
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/RepeatOutcomeFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/IdempotencyOutcomeFilter.kt
@@ -13,7 +13,7 @@
  * key, so a refusal from before the claim was read says `unknown`. A caller that sends `Idempotency-Attempt: 1` vouches
  * that there was no earlier request.
  */
-internal object RepeatOutcomeFilter : RequestFilter {
+internal object IdempotencyOutcomeFilter : RequestFilter {
     private const val IDEMPOTENCY_KEY = "idempotency-key"
     private const val IDEMPOTENCY_ATTEMPT = "idempotency-attempt"
 
@@ -40,7 +40,7 @@
         answer: Answer,
     ): Answer {
         val refusal = (answer as? Answer.Refused)?.refusal ?: return answer
-        val claimed = refusal.outcome == Outcome.NOT_RUN && !exchange.journal.firstUseProven
+        val claimed = refusal.outcome == Outcome.NOT_RUN && !exchange.journal.firstUseConfirmed
         if (!claimed || refusal.code in alwaysRefused) return answer
         return Answer.Refused(refusal.copy(outcome = Outcome.UNKNOWN))
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointDirectory.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointDirectory.kt
@@ -2,13 +2,13 @@
 
 import dev.almondhaven.catalogue.CatalogueIndex
 import dev.almondhaven.catalogue.Endpoint
-import dev.almondhaven.decision.endpoint.ColdRamp
 import dev.almondhaven.decision.endpoint.EjectionGroup
 import dev.almondhaven.decision.endpoint.EndpointLimiter
 import dev.almondhaven.decision.endpoint.EndpointPool
 import dev.almondhaven.decision.endpoint.EndpointState
+import dev.almondhaven.decision.endpoint.EndpointSubsetting
 import dev.almondhaven.decision.endpoint.LoadReport
-import dev.almondhaven.decision.endpoint.RouterSubset
+import dev.almondhaven.decision.endpoint.SlowStart
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.decision.membership.Member
 import dev.almondhaven.model.EndpointId
@@ -18,8 +18,8 @@
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.model.ServiceId
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.controller.CatalogueHolder
-import dev.almondhaven.router.controller.DutyThread
 import dev.almondhaven.router.filter.AttemptResult
 import io.github.oshai.kotlinlogging.KotlinLogging
 import java.util.concurrent.CompletableFuture
@@ -50,8 +50,8 @@
     private val holder: CatalogueHolder,
     private val fleet: FleetView,
     private val clock: NanoClock,
-    private val ramp: ColdRamp = ColdRamp(),
-    private val subset: RouterSubset = RouterSubset(),
+    private val ramp: SlowStart = SlowStart(),
+    private val subset: EndpointSubsetting = EndpointSubsetting(),
     private val epochMillis: () -> Long = System::currentTimeMillis,
 ) : AutoCloseable {
     private sealed interface Message {
@@ -98,10 +98,10 @@
     @Volatile
     private var polled: List<Endpoint> = emptyList()
 
-    private val duty = DutyThread.start("endpoints", RING_CAPACITY, TICK, ::tick, ::handle)
+    private val duty = ActorThread.start("endpoints", RING_CAPACITY, TICK, ::tick, ::handle)
 
     /** Endpoints whose load reports this router polls. */
-    internal val used: List<Endpoint> get() = polled
+    internal val polledEndpoints: List<Endpoint> get() = polled
 
     /** Messages lost to a full ring. */
     public val rejected: Long get() = duty.rejected
@@ -110,7 +110,7 @@
     public fun poolOrNull(key: PoolKey): EndpointPool? = pools[key]
 
     /** Completes once the pools reflect the catalogue in force now. */
-    public fun refreshed(): CompletableFuture<Unit> {
+    public fun refreshPools(): CompletableFuture<Unit> {
         val done = CompletableFuture<Unit>()
         if (!duty.offer(Message.Refresh(done))) done.complete(Unit)
         return done
@@ -126,7 +126,7 @@
     }
 
     /** Notes that [id] answers but reports no load. */
-    public fun recordReportless(id: EndpointId) {
+    public fun recordMissingLoadReport(id: EndpointId) {
         duty.offer(Message.Reportless(id))
     }
 
@@ -169,7 +169,7 @@
 
     private fun reportless(id: EndpointId) {
         val endpoint = known[id] ?: return
-        endpoint.limiter.recordReportless()
+        endpoint.limiter.recordNoLoadReport()
         endpoint.limiter.update(clock.nanos(), endpoint.sharers)
     }
 
@@ -212,7 +212,7 @@
         if (index !== builtFor || members != builtWith) rebuild(index, members)
         val now = clock.nanos()
         known.values.forEach { it.limiter.update(now, it.sharers) }
-        pools.values.forEach { it.refresh() }
+        pools.values.forEach { it.updateAverageOtherRequests() }
     }
 
     private fun rebuild(
