--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/CdsTrainingRun.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/CdsTrainingRun.kt
@@ -56,7 +56,7 @@
         val endpoint = startServer(::endpointResponse)
         val store = startServer { storeResponse(it, endpoint) }
         val bounds = TrafficBounds(1.seconds, 2.seconds, 5.seconds, 0.9, 50.0, 10.seconds, 5.seconds)
-        val place =
+        val settings =
             RouterPlace(
                 "rehearsal",
                 FailureDomainId("here"),
@@ -66,7 +66,7 @@
                 "127.0.0.1:0",
                 bounds,
             )
-        val gateway = Gateway.start(place)
+        val gateway = Gateway.start(settings)
         val port = gateway.callerPort
         val ready =
             (1..MAX_WARM_UP_ATTEMPTS).any {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
@@ -39,24 +39,24 @@
  * routers must agree on. A single thread handles requests and state, so no data is shared between threads.
  */
 internal class Gateway private constructor(
-    private val place: RouterPlace,
+    private val settings: RouterPlace,
 ) {
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val loop = group.next()
     private val clock = NanoClock.SYSTEM
     private val random = RandomSource.XO_RO_SHI_RO_128_PP.create()
     private val lifecycle = Lifecycle(clock)
-    private val routing = RoutingState(place.bounds, loop, clock)
-    private val store = HttpStoreClient(loop, place.storeAddress, clock)
-    private val configurationWatcher = ConfigurationWatcher(place.bounds, store, loop, clock, ::configure)
-    private val peers = PeerMessenger(group, place.peerAddress, loop, clock, routing)
-    private val rollOuts = RollOutController(place.bounds, store, loop, clock, random, peers::announceSession)
+    private val routing = RoutingState(settings.bounds, loop, clock)
+    private val store = HttpStoreClient(loop, settings.storeAddress, clock)
+    private val configurationWatcher = ConfigurationWatcher(settings.bounds, store, loop, clock, ::configure)
+    private val peers = PeerMessenger(group, settings.peerAddress, loop, clock, routing)
+    private val rollOuts = RollOutController(settings.bounds, store, loop, clock, random, peers::announceSession)
     private val context =
         CallContext(
             routing,
             configurationWatcher,
             rollOuts,
-            EndpointPlacement(place.failureDomain),
+            EndpointPlacement(settings.failureDomain),
             ModelCascade(),
             peers,
             Watchdog(loop),
@@ -77,8 +77,8 @@
         private set
 
     private fun start() {
-        callerPort = (callerServer.listen(place.callerAddress).localAddress() as InetSocketAddress).port
-        readinessServer.listen(place.readyAddress)
+        callerPort = (callerServer.listen(settings.callerAddress).localAddress() as InetSocketAddress).port
+        readinessServer.listen(settings.readyAddress)
         peers.listen()
         loop.execute {
             peers.onSession = rollOuts::applyAnnouncement
@@ -93,7 +93,7 @@
             register()
         }
         LogEvent.ROUTER_STARTED.log(logger) {
-            "router=${place.name} domain=${place.failureDomain} address=${place.callerAddress}"
+            "router=${settings.name} domain=${settings.failureDomain} address=${settings.callerAddress}"
         }
     }
 
@@ -106,7 +106,7 @@
     /** How long changes of one kind may wait, so that one call returns them together. */
     private fun batchDelayOf(kind: StoreKind): Duration =
         when (kind) {
-            StoreKind.ENDPOINTS -> place.bounds.drain / ENDPOINT_BATCH_DELAY_DIVISOR
+            StoreKind.ENDPOINTS -> settings.bounds.drain / ENDPOINT_BATCH_DELAY_DIVISOR
             StoreKind.ROUTERS -> ROUTER_BATCH_DELAY
             else -> BATCH_DELAY
         }
@@ -159,9 +159,13 @@
 
     private fun evacuationsChanged(changes: List<StoreChange>) {
         changes.forEach { change ->
-            val gone = change.removed || change.entry.removed
+            val isRemoved = change.removed || change.entry.removed
             routing.evacuatedDomains =
-                if (gone) routing.evacuatedDomains - change.entry.name else routing.evacuatedDomains + change.entry.name
+                if (isRemoved) {
+                    routing.evacuatedDomains - change.entry.name
+                } else {
+                    routing.evacuatedDomains + change.entry.name
+                }
         }
         LogEvent.EVACUATIONS_CHANGED.log(logger) { "domains=${routing.evacuatedDomains}" }
     }
@@ -198,12 +202,12 @@
 
     private fun updateRouters() {
         routing.routerCount = routers.size.coerceAtLeast(1)
-        peers.setPeers(routers.values.filterNotNull().filter { it != place.peerAddress })
+        peers.setPeers(routers.values.filterNotNull().filter { it != settings.peerAddress })
     }
 
     /** Registers this router in the list through which the routers find each other and count who shares the bounds. */
     private fun register() {
-        store.call(StoreCall.register(place.name, place.peerAddress), REGISTER_TIMEOUT) { response ->
+        store.call(StoreCall.register(settings.name, settings.peerAddress), REGISTER_TIMEOUT) { response ->
             when (response?.status) {
                 null -> loop.schedule(::register, REGISTER_RETRY_DELAY.inWholeMilliseconds, TimeUnit.MILLISECONDS)
                 StoreCall.CONFLICT -> StoreCall.entry(response.body)?.let(::updateAddress)
@@ -214,8 +218,8 @@
 
     /** Updates the address in an entry that another VM created under this router's name. */
     private fun updateAddress(held: StoredObject) {
-        if (held.asPeer() == place.peerAddress) return
-        store.call(StoreCall.moveRouter(held, place.peerAddress), REGISTER_TIMEOUT) { response ->
+        if (held.asPeer() == settings.peerAddress) return
+        store.call(StoreCall.moveRouter(held, settings.peerAddress), REGISTER_TIMEOUT) { response ->
             if (response == null) {
                 loop.schedule(::register, REGISTER_RETRY_DELAY.inWholeMilliseconds, TimeUnit.MILLISECONDS)
             }
@@ -227,20 +231,20 @@
      * end of the grace period.
      */
     fun stop() {
-        LogEvent.ROUTER_STOPPING.log(logger) { "router=${place.name}" }
+        LogEvent.ROUTER_STOPPING.log(logger) { "router=${settings.name}" }
         lifecycle.stop()
-        val end = place.bounds.stopGrace - STOP_MARGIN
+        val end = settings.bounds.stopGrace - STOP_MARGIN
         while (lifecycle.stoppingFor() < end && (lifecycle.stoppingFor() < BALANCER_DRAIN_DELAY || isBusy())) {
             TimeUnit.MILLISECONDS.sleep(STOP_CHECK_MILLIS)
             if (lifecycle.stoppingFor() >= BALANCER_DRAIN_DELAY) loop.submit { callerServer.closeIdle() }.get()
         }
-        LogEvent.ROUTER_STOPPED.log(logger) { "router=${place.name} busy=${isBusy()}" }
+        LogEvent.ROUTER_STOPPED.log(logger) { "router=${settings.name} busy=${isBusy()}" }
     }
 
     private fun isBusy(): Boolean = loop.submit<Boolean> { callerServer.isBusy }.get()
 
     companion object {
-        /** Short compared with the seconds within which an operator's order must be in force. */
+        /** Short compared with the seconds within which an operator's order must take effect. */
         private val BATCH_DELAY = 150.milliseconds
 
         /**
@@ -261,7 +265,7 @@
         private val STOP_MARGIN = 300.milliseconds
         private const val STOP_CHECK_MILLIS = 50L
 
-        /** Starts serving with the settings in [place]. */
-        fun start(place: RouterPlace): Gateway = Gateway(place).also { it.start() }
+        /** Starts serving with [settings]. */
+        fun start(settings: RouterPlace): Gateway = Gateway(settings).also { it.start() }
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/GatewayMain.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/GatewayMain.kt
@@ -25,12 +25,12 @@
  */
 public fun main(arguments: Array<String>) {
     if (arguments.contentEquals(arrayOf("rehearse"))) exitProcess(CdsTrainingRun().run())
-    val place = readPlace() ?: exitProcess(EXIT_CONFIGURATION)
+    val settings = readSettings() ?: exitProcess(EXIT_CONFIGURATION)
     val stop = CountDownLatch(1)
     Signal.handle(Signal("TERM")) { stop.countDown() }
     Signal.handle(Signal("INT")) { stop.countDown() }
-    Signal.handle(Signal("HUP")) { reload(place) }
-    val gateway = Gateway.start(place)
+    Signal.handle(Signal("HUP")) { reload(settings) }
+    val gateway = Gateway.start(settings)
     stop.await()
     gateway.stop()
     (LoggerFactory.getILoggerFactory() as LoggerContext).stop()
@@ -38,7 +38,7 @@
     Runtime.getRuntime().halt(0)
 }
 
-private fun readPlace(): RouterPlace? {
+private fun readSettings(): RouterPlace? {
     val path = Path.of(System.getenv(NodeFile.PATH_VARIABLE) ?: NodeFile.USUAL_PATH)
     val text =
         try {
@@ -60,6 +60,6 @@
  * can't change while it runs, and everything else comes from the store.
  */
 private fun reload(running: RouterPlace) {
-    val next = readPlace() ?: return
+    val next = readSettings() ?: return
     LogEvent.SETTINGS_RELOADED.log(logger) { "router=${running.name} changed=${next != running}" }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AdmittedCall.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AdmittedCall.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A request that has passed admission, with the configuration that was in force when it arrived. */
+/** A request that has passed admission, with the configuration that was current when it arrived. */
 internal class AdmittedCall(
     val request: CallerRequest,
     val demand: CallDemand,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
@@ -75,12 +75,13 @@
     fun start(resumeAfter: Long?) {
         val listing = endpointState.listing
         val now = context.clock.nanos()
-        val demand = exchange.selector.placementDemand(call.demand, model ?: call.demand.model)
+        val placementRequest = exchange.selector.placementRequest(call.demand, model ?: call.demand.model)
         if (call.demand.promptTokens > 0) {
-            val cachedTokens = endpointState.prefixCache.cachedTokens(demand.model, demand.promptParts)
-            uncachedTokens = (demand.promptTokens - cachedTokens).coerceAtLeast(0)
-            prefillMillis = endpointState.prefillSpeed.estimateMillis(demand.model, uncachedTokens)
-            endpointState.prefixCache.recordPrefill(demand.model, demand.promptParts)
+            val cachedTokens =
+                endpointState.prefixCache.cachedTokens(placementRequest.model, placementRequest.promptParts)
+            uncachedTokens = (placementRequest.promptTokens - cachedTokens).coerceAtLeast(0)
+            prefillMillis = endpointState.prefillSpeed.estimateMillis(placementRequest.model, uncachedTokens)
+            endpointState.prefixCache.recordPrefill(placementRequest.model, placementRequest.promptParts)
         }
         endpointState.recordStart(prefillMillis)
         call.demand.session?.let { context.rollOuts.runStarted(call.service, it, listing.version) }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
@@ -17,7 +17,7 @@
     val configurationWatcher: ConfigurationWatcher,
     val rollOuts: RollOutController,
     val placement: EndpointPlacement,
-    val sizing: ModelCascade,
+    val cascade: ModelCascade,
     val peers: PeerMessenger,
     val watchdog: Watchdog,
     val lifecycle: Lifecycle,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallHandler.kt
@@ -46,7 +46,7 @@
         LogEvent.REQUEST_REFUSED.log(logger) {
             "request=${response.requestId} status=${response.status} host=${request.host} path=${request.path} " +
                 "reason=\"${response.reason}\" configuration=${context.routing.configuration?.version} " +
-                "proofAge=${context.configurationWatcher.proofAge().inWholeMilliseconds}"
+                "proofAge=${context.configurationWatcher.confirmationAge().inWholeMilliseconds}"
         }
         writer.respond(response)
         return Completed
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
@@ -12,7 +12,7 @@
 ) {
     /**
      * Endpoints of the call's service that accept new requests and run one of [versions]. While none of these is
-     * listed, as at the start of a roll-out, a non-strict choice falls back to the endpoints of the other version.
+     * listed, as at the start of a roll-out, a non-strict constraint falls back to the endpoints of the other version.
      */
     fun eligibleEndpoints(
         call: AdmittedCall,
@@ -32,17 +32,17 @@
     fun choose(
         eligible: List<EndpointHandle>,
         tried: Set<EndpointId>,
-        demand: PlacementRequest,
+        request: PlacementRequest,
     ): EndpointHandle? {
         val untriedEndpoints = eligible.filter { it.state.listing.id !in tried }
-        return best(untriedEndpoints, demand) ?: best(eligible - untriedEndpoints.toSet(), demand)
+        return best(untriedEndpoints, request) ?: best(eligible - untriedEndpoints.toSet(), request)
     }
 
     /** Milliseconds until the best of [eligible] is expected to begin its response. */
     fun expectedMillis(
         eligible: List<EndpointHandle>,
-        demand: PlacementRequest,
-    ): Double = context.placement.expectedFirstTokenMillis(eligible.map { it.state }, demand, context.clock.nanos())
+        request: PlacementRequest,
+    ): Double = context.placement.expectedFirstTokenMillis(eligible.map { it.state }, request, context.clock.nanos())
 
     /** Average backlog of queued prefill at one of [eligible], in milliseconds. */
     fun backlogMillis(eligible: List<EndpointHandle>): Double =
@@ -50,14 +50,15 @@
 
     private fun best(
         candidates: List<EndpointHandle>,
-        demand: PlacementRequest,
+        request: PlacementRequest,
     ): EndpointHandle? {
-        val chosen = context.placement.choose(candidates.map { it.state }, demand, context.clock.nanos()) ?: return null
+        val chosen =
+            context.placement.choose(candidates.map { it.state }, request, context.clock.nanos()) ?: return null
         return candidates.first { it.state === chosen }
     }
 
-    /** Describes [demand] for the placement of a call on [model], which is null for plain services. */
-    fun placementDemand(
+    /** Builds the placement request for [demand] on [model], which is null for plain services. */
+    fun placementRequest(
         demand: CallDemand,
         model: String?,
     ): PlacementRequest {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
@@ -30,7 +30,7 @@
     private var attempt: Attempt? = null
     private var timeout: Future<*>? = null
     private var placementRetry: Future<*>? = null
-    private var finished = false
+    private var isFinished = false
 
     /** Attempts that were sent, whatever their outcome. */
     private var sends = 0
@@ -61,7 +61,7 @@
         val routerChoosesModel = call.route.models.isNotEmpty() && call.demand.model == CallDemand.ANY_MODEL
         if (routerChoosesModel) {
             model =
-                context.sizing.firstModel(
+                context.cascade.firstModel(
                     call.route.models,
                     call.route.latencyObjective.inWholeMilliseconds,
                     ::expectedMillis,
@@ -73,10 +73,10 @@
 
     private fun dispatch() {
         placementRetry = null
-        if (finished) return
+        if (isFinished) return
         val eligible = selector.eligibleEndpoints(call, versions())
-        val demand = selector.placementDemand(call.demand, model ?: call.demand.model)
-        val chosen = selector.choose(eligible, tried, demand) ?: return onNoEndpoint(eligible.isNotEmpty())
+        val placementRequest = selector.placementRequest(call.demand, model ?: call.demand.model)
+        val chosen = selector.choose(eligible, tried, placementRequest) ?: return onNoEndpoint(eligible.isNotEmpty())
         val next = Attempt(context, this, call, chosen, model)
         tried += chosen.state.listing.id
         sends++
@@ -119,15 +119,15 @@
         confidence: Int?,
     ): String? {
         val currentModel = attempt.model ?: return null
-        val outlook = outlook()
-        backlogMillis = outlook.prefillBacklogMillis.toInt()
+        val conditions = escalationConditions()
+        backlogMillis = conditions.prefillBacklogMillis.toInt()
         if (responseStarted || executions + 2 > call.route.mostAttempts) return null
         val larger =
-            context.sizing.escalationTarget(call.route.models, currentModel, confidence, outlook) ?: return null
+            context.cascade.escalationTarget(call.route.models, currentModel, confidence, conditions) ?: return null
         return larger.takeIf { spendRetry(ESCALATION_BUDGET_SHARE) }
     }
 
-    private fun outlook(): EscalationConditions {
+    private fun escalationConditions(): EscalationConditions {
         val timeToObjective = call.route.latencyObjective - context.clock.elapsed(call.request.receivedAt)
         val backlog = selector.backlogMillis(selector.eligibleEndpoints(call, versions()))
         return EscalationConditions(timeToObjective.inWholeMilliseconds.toDouble(), backlog, ::expectedMillis)
@@ -136,7 +136,7 @@
     private fun expectedMillis(model: String): Double =
         selector.expectedMillis(
             selector.eligibleEndpoints(call, versions()),
-            selector.placementDemand(call.demand, model),
+            selector.placementRequest(call.demand, model),
         )
 
     private fun versions(): VersionConstraint = context.rollOuts.versionFor(call.service, call.demand.session, call.id)
@@ -145,7 +145,7 @@
         ended: Attempt,
         outcome: AttemptOutcome,
     ) {
-        if (finished || ended !== attempt) return
+        if (isFinished || ended !== attempt) return
         attempt = null
         LogEvent.ATTEMPT_ENDED.log(logger) {
             "request=${call.id} $ended outcome=${describe(outcome)} sends=$sends events=$eventCount"
@@ -241,7 +241,7 @@
         headers: List<Pair<String, String>>,
         confidence: Int?,
     ) {
-        if (finished || from !== attempt) return
+        if (isFinished || from !== attempt) return
         if (responseStarted) {
             LogEvent.ANSWER_RESUMED.log(logger) { "request=${call.id} $from after=$lastEventId" }
             return
@@ -253,7 +253,7 @@
     }
 
     fun onEvent(event: StreamEvent) {
-        if (finished) return
+        if (isFinished) return
         val id = event.id
         val received = lastEventId
         // A resuming endpoint may repeat events that the caller already has.
@@ -306,7 +306,7 @@
     }
 
     override fun onCallerDisconnected() {
-        if (finished) return
+        if (isFinished) return
         finish("caller disconnected") {}
     }
 
@@ -318,8 +318,8 @@
         outcome: String,
         deliver: () -> Unit,
     ) {
-        if (finished) return
-        finished = true
+        if (isFinished) return
+        isFinished = true
         timeout?.cancel(false)
         placementRetry?.cancel(false)
         val last = attempt
@@ -342,7 +342,7 @@
                     call.request.receivedAt,
                 ).inWholeMilliseconds} " +
                 "configuration=${call.configuration.version} " +
-                "proofAge=${context.configurationWatcher.proofAge().inWholeMilliseconds}"
+                "proofAge=${context.configurationWatcher.confirmationAge().inWholeMilliseconds}"
         }
 
     private companion object {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Watchdog.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Watchdog.kt
@@ -14,17 +14,17 @@
         watched += attempt
         if (isScheduled) return
         isScheduled = true
-        loop.schedule(::tick, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)
+        loop.schedule(::checkAll, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)
     }
 
     fun release(attempt: Attempt) {
         watched -= attempt
     }
 
-    private fun tick() {
+    private fun checkAll() {
         watched.toList().forEach { it.checkStalled() }
         isScheduled = watched.isNotEmpty()
-        if (isScheduled) loop.schedule(::tick, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)
+        if (isScheduled) loop.schedule(::checkAll, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)
     }
 
     private companion object {
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerConnection.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerConnection.kt
@@ -109,8 +109,8 @@
         startTimer(limits().idleTimeout.inWholeMilliseconds) {
             if (head != null) reject(HttpResponseStatus.REQUEST_TIMEOUT)
         }
-        val problem = invalidStatus(request)
-        if (problem != null) return reject(problem)
+        val rejection = validate(request)
+        if (rejection != null) return reject(rejection)
         if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(
                 DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER),
@@ -118,7 +118,8 @@
         }
     }
 
-    private fun invalidStatus(request: HttpRequest): HttpResponseStatus? {
+    /** Returns the status to reject [request] with, or null if it is valid. */
+    private fun validate(request: HttpRequest): HttpResponseStatus? {
         val headers = request.headers()
         val transferEncodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING)
         val hasUnknownEncoding =
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/ConnectionPool.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/ConnectionPool.kt
@@ -79,7 +79,7 @@
         bootstrap.connect(target).addListener { opened ->
             when {
                 !opened.isSuccess -> {
-                    if (!call.cancelled) {
+                    if (!call.isCancelled) {
                         listener.onFailure(
                             sent = false,
                             reason = "${opened.cause()?.message}",
@@ -87,7 +87,7 @@
                     }
                 }
 
-                call.cancelled -> {
+                call.isCancelled -> {
                     release(connection)
                 }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundCall.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundCall.kt
@@ -5,7 +5,7 @@
     private var connection: OutboundConnection? = null
 
     /** Whether the request was cancelled; a connection that opens afterwards is returned to the pool. */
-    var cancelled = false
+    var isCancelled = false
         private set
 
     fun attach(connection: OutboundConnection) {
@@ -17,7 +17,7 @@
      * response has ended.
      */
     fun cancel() {
-        cancelled = true
+        isCancelled = true
         connection?.cancel()
     }
 
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ConfigurationWatcher.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ConfigurationWatcher.kt
@@ -17,10 +17,11 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Follows the configuration and proves how fresh the known one is, both by a series of short watches. A watch that ends
- * without a change after its full duration proves that nothing changed until then; any other response proves only the
- * state at the time its call was sent. A call that times out is followed by reads. Requests with API keys are served
- * only while the last proof is recent enough. Must be used on the event loop only.
+ * Follows the configuration and confirms how recent the known one is, both by a series of short watches. A watch that
+ * ends without a change after its full duration confirms that the known configuration was current until then; any other
+ * response confirms it only for the time at which its call was sent. A call that times out is followed by reads.
+ * Requests with API keys are served only while the last confirmation is recent enough. Must be used on the event loop
+ * only.
  */
 internal class ConfigurationWatcher(
     bounds: TrafficBounds,
@@ -37,13 +38,13 @@
         fun plus(span: Duration) = Moment(steadyNanos + span.inWholeNanoseconds, wallMillis + span.inWholeMilliseconds)
     }
 
-    private val proof = ConfigurationAge(bounds.revocation - REVOCATION_MARGIN)
+    private val configurationAge = ConfigurationAge(bounds.revocation - REVOCATION_MARGIN)
     private var wasFresh = false
 
-    /** Whether the last proof is recent enough to serve requests with API keys. */
-    val isFresh: Boolean get() = proof.isFresh(clock.nanos(), wallMillis())
+    /** Whether the last confirmation is recent enough to serve requests with API keys. */
+    val isFresh: Boolean get() = configurationAge.isFresh(clock.nanos(), wallMillis())
 
-    fun proofAge(): Duration = proof.age(clock.nanos(), wallMillis())
+    fun confirmationAge(): Duration = configurationAge.age(clock.nanos(), wallMillis())
 
     fun start(): Unit = read()
 
@@ -55,7 +56,7 @@
             val page = response?.takeIf { it.status == OK }?.let { StoreCall.page(it.body) }
             val hasConfiguration = page?.objects?.any { it.name == StoreCall.CONFIGURATION_NAME } == true
             page?.objects?.forEach(onConfiguration)
-            if (hasConfiguration) recordProof(sent)
+            if (hasConfiguration) confirm(sent)
             logFreshnessChange()
             if (page == null || !hasConfiguration) {
                 schedule(RETRY_DELAY, ::read)
@@ -79,7 +80,7 @@
             changes.changed.forEach { onConfiguration(it.entry) }
             val waitedInFull = clock.elapsed(sent.steadyNanos) >= wait
             val unchanged = changes.changed.isEmpty()
-            recordProof(if (unchanged && waitedInFull) sent.plus(wait - TIMER_TOLERANCE) else sent)
+            confirm(if (unchanged && waitedInFull) sent.plus(wait - TIMER_TOLERANCE) else sent)
             logFreshnessChange()
             if (unchanged) {
                 watch(changes.revision, WATCH_DURATION)
@@ -89,7 +90,7 @@
         }
     }
 
-    private fun recordProof(moment: Moment): Unit = proof.confirm(moment.steadyNanos, moment.wallMillis)
+    private fun confirm(moment: Moment): Unit = configurationAge.confirm(moment.steadyNanos, moment.wallMillis)
 
     private fun schedule(
         delay: Duration,
@@ -102,18 +103,18 @@
         if (isFresh == wasFresh) return
         wasFresh = isFresh
         val event = if (wasFresh) LogEvent.FRESHNESS_PROVED else LogEvent.FRESHNESS_LOST
-        event.log(logger) { "age=${proofAge()}" }
+        event.log(logger) { "age=${confirmationAge()}" }
     }
 
     private companion object {
         const val OK = 200
 
-        /** Short enough that the proof survives a lost watch and two failed reads after it. */
+        /** The last confirmation outlasts a lost watch and two failed reads after it. */
         val WATCH_DURATION = 2.seconds
 
         /**
-         * A watch that reports a change proves less than one that ends without a change, so the next proof must come
-         * before that one expires.
+         * A watch that reports a change confirms less than one that ends without a change, so the next confirmation
+         * must come before that one expires.
          */
         val WATCH_DURATION_AFTER_CHANGE = 500.milliseconds
 
@@ -126,7 +127,7 @@
         val RETRY_DELAY = 250.milliseconds
         val READ_DELAY_AFTER_FAILED_WATCH = 20.milliseconds
 
-        /** Changes arrive in bursts; short compared with the two seconds within which a change must be in force. */
+        /** Changes arrive in bursts; short compared with the two seconds within which a change must take effect. */
         val CHANGE_BATCH_DELAY = 150.milliseconds
 
         /** Safety margin for the transit time of a request from the router to the endpoint, and for clock drift. */
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOutController.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOutController.kt
@@ -39,8 +39,8 @@
         var order: RollOutOrder,
         val startedAt: Long,
     ) {
-        val plan = RollOutSchedule(order.within)
-        val evidence = CanaryComparison()
+        val schedule = RollOutSchedule(order.within)
+        val comparison = CanaryComparison()
         var requestedState: RollOutState? = null
     }
 
@@ -121,8 +121,8 @@
         new: VersionConstraint,
     ): VersionConstraint {
         val elapsed = clock.elapsed(rollOut.startedAt)
-        val chosen = if (hashFraction(session ?: requestId) < rollOut.plan.share(elapsed)) new else old
-        if (session == null || rollOut.plan.allowsSessionMoves(elapsed)) return chosen
+        val chosen = if (hashFraction(session ?: requestId) < rollOut.schedule.share(elapsed)) new else old
+        if (session == null || rollOut.schedule.allowsSessionMoves(elapsed)) return chosen
         val currentVersion = sessionsOf(rollOut.order.service).versionOf(session, clock.nanos()) ?: return chosen
         return if (currentVersion == rollOut.order.target) new else old
     }
@@ -170,8 +170,8 @@
         val rollOut = activeRollOuts[service] ?: return
         val elapsed = clock.elapsed(rollOut.startedAt)
         val isFinal = rollOut.order.state == RollOutState.DONE || rollOut.order.state == RollOutState.ROLLED_BACK
-        if (isFinal || rollOut.plan.allowsSessionMoves(elapsed) || session.version == rollOut.order.target) return
-        if (hashFraction(session.id) < rollOut.plan.share(elapsed)) {
+        if (isFinal || rollOut.schedule.allowsSessionMoves(elapsed) || session.version == rollOut.order.target) return
+        if (hashFraction(session.id) < rollOut.schedule.share(elapsed)) {
             announce(SessionAnnouncement(service.value, session.id, session.version, session.isRunning))
         }
     }
@@ -189,8 +189,8 @@
     ) {
         val rollOut = activeRollOuts[service] ?: return
         if (rollOut.order.state == RollOutState.DONE || rollOut.order.state == RollOutState.ROLLED_BACK) return
-        rollOut.evidence.record(version == rollOut.order.target, failed)
-        if (failed && version == rollOut.order.target && rollOut.evidence.isCanaryWorse()) {
+        rollOut.comparison.record(version == rollOut.order.target, failed)
+        if (failed && version == rollOut.order.target && rollOut.comparison.isCanaryWorse()) {
             requestState(rollOut, RollOutState.ROLLED_BACK)
         }
     }
@@ -201,7 +201,7 @@
             val elapsed = clock.elapsed(rollOut.startedAt)
             when {
                 state == RollOutState.DONE || state == RollOutState.ROLLED_BACK -> Unit
-                rollOut.plan.isComplete(elapsed) -> requestState(rollOut, RollOutState.DONE)
+                rollOut.schedule.isComplete(elapsed) -> requestState(rollOut, RollOutState.DONE)
                 state == RollOutState.ORDERED -> requestState(rollOut, RollOutState.RUNNING)
             }
         }
@@ -218,7 +218,7 @@
         if (rollOut.requestedState == state || rollOut.requestedState == RollOutState.ROLLED_BACK) return
         rollOut.requestedState = state
         LogEvent.ROLL_OUT_DECIDED.log(logger) {
-            "service=${rollOut.order.service} state=$state evidence=${rollOut.evidence}"
+            "service=${rollOut.order.service} state=$state evidence=${rollOut.comparison}"
         }
         val delay = if (state == RollOutState.ROLLED_BACK) 0L else random.nextLong(MAX_JITTER_MILLIS)
         loop.schedule({ write(rollOut, state) }, delay, TimeUnit.MILLISECONDS)
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RoutingState.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RoutingState.kt
@@ -131,7 +131,7 @@
                     listing,
                     serviceEndpoints(listing.service).ejectionGroup,
                     kvCacheTokens,
-                    serviceEndpoints(listing.service).engineSpeed,
+                    serviceEndpoints(listing.service).prefillSpeed,
                     clock.nanos(),
                 ),
                 pool,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ServiceEndpoints.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/ServiceEndpoints.kt
@@ -7,7 +7,7 @@
 import dev.almondhaven.model.ServiceId
 
 /**
- * The known endpoints of one service, and the retry budget, ejection group and engine speed estimate that they share.
+ * The known endpoints of one service, and the retry budget, ejection group and prefill speed estimate that they share.
  */
 internal class ServiceEndpoints(
     val service: ServiceId,
@@ -21,7 +21,7 @@
      * there.
      */
     val ejectionGroup = EjectionGroup(MAX_EJECTED_SHARE)
-    val engineSpeed = PrefillSpeed()
+    val prefillSpeed = PrefillSpeed()
     val endpoints = LinkedHashMap<EndpointId, EndpointHandle>()
 
     private companion object {
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/state/ConfigurationWatcherTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/state/ConfigurationWatcherTest.kt
@@ -56,7 +56,7 @@
     @Nested
     inner class `a watch` {
         @Test
-        fun `follows the list, and proves by ending without a change that nothing changed until then`() {
+        fun `follows the list, and confirms by ending without a change that nothing changed until then`() {
             startAndList()
             advance(2_010)
             respond(unchanged(7))
@@ -64,27 +64,27 @@
             expectThat(store.calls.map { it.path }).isEqualTo(
                 listOf("/objects/config", "/objects/config?watch=7&waitMs=2000", "/objects/config?watch=7&waitMs=2000"),
             )
-            expectThat(watcher.proofAge()).isEqualTo(60.milliseconds)
+            expectThat(watcher.confirmationAge()).isEqualTo(60.milliseconds)
         }
 
         @Test
-        fun `that ends without a change before its full duration proves only the state when it was sent`() {
+        fun `that ends without a change before its full duration confirms only the state when it was sent`() {
             startAndList()
             advance(1_500)
             respond(unchanged(7))
 
-            expectThat(watcher.proofAge()).isEqualTo(1_500.milliseconds)
+            expectThat(watcher.confirmationAge()).isEqualTo(1_500.milliseconds)
         }
 
         @Test
-        fun `that reports a change proves only the state when it was sent, and is followed by a shorter watch`() {
+        fun `that reports a change confirms only the state when it was sent, and is followed by a shorter watch`() {
             startAndList()
             advance(1_500)
             respond(change(9))
             advance(150)
 
             expectThat(seen.toList()).isEqualTo(listOf(7L, 9L))
-            expectThat(watcher.proofAge()).isEqualTo(1_650.milliseconds)
+            expectThat(watcher.confirmationAge()).isEqualTo(1_650.milliseconds)
             expectThat(store.calls.last().path).isEqualTo("/objects/config?watch=9&waitMs=500")
         }
 
@@ -126,7 +126,7 @@
     @Nested
     inner class `a store without a configuration` {
         @Test
-        fun `proves nothing and is read again`() {
+        fun `confirms nothing and is read again`() {
             watcher.start()
             respond("""{"items":[],"truncated":false,"currentRev":1}""")
             advance(250)
