--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/ReadinessHandler.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/ReadinessHandler.kt
@@ -6,20 +6,20 @@
 import dev.almondhaven.gateway.net.RequestHandler
 import dev.almondhaven.gateway.net.ResponseWriter
 
-/** Tells the balancer whether this router takes new connections. */
+/** Answers the load balancer's readiness checks. */
 internal class ReadinessHandler(
-    private val ready: () -> Boolean,
+    private val isReady: () -> Boolean,
 ) : RequestHandler {
     override fun serve(
         request: CallerRequest,
-        port: ResponseWriter,
+        writer: ResponseWriter,
     ): InFlightRequest {
-        val status = if (ready()) OK else UNAVAILABLE
-        port.answer(RouterResponse.of(status, null, if (status == OK) "ready" else "not ready"))
-        return Nothing
+        val status = if (isReady()) OK else UNAVAILABLE
+        writer.respond(RouterResponse.of(status, null, if (status == OK) "ready" else "not ready"))
+        return Completed
     }
 
-    private object Nothing : InFlightRequest {
+    private object Completed : InFlightRequest {
         override fun onCallerDisconnected() = Unit
 
         override fun onCallerWritable() = Unit
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/CallContext.kt
@@ -11,13 +11,13 @@
 import io.netty.channel.EventLoop
 import org.apache.commons.rng.UniformRandomProvider
 
-/** What serving a request needs of the rest of the router. */
+/** The components and shared state of the router that serving a request needs. */
 internal class CallContext(
     val routing: RoutingState,
-    val proof: ConfigurationWatcher,
+    val configurationWatcher: ConfigurationWatcher,
     val rollOuts: RollOutController,
     val placement: EndpointPlacement,
-    val sizing: ModelCascade,
+    val cascade: ModelCascade,
     val peers: PeerMessenger,
     val watchdog: Watchdog,
     val lifecycle: Lifecycle,
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
@@ -6,67 +6,68 @@
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.traffic.CallDemand
 
-/** Finds the endpoints that may run a call, and the best of them. */
+/** Finds the endpoints that are eligible for a call, and the best of them. */
 internal class EndpointSelector(
     private val context: CallContext,
 ) {
     /**
-     * Endpoints of the call's service that may run it now: those of [versions], or those of the other version while none of
-     * them is listed, as at the start of a roll-out.
+     * Endpoints of the call's service that accept new requests and run one of [versions]. While none of these is
+     * listed, as at the start of a roll-out, a non-strict constraint falls back to the endpoints of the other version.
      */
-    fun usable(
+    fun eligibleEndpoints(
         call: AdmittedCall,
         versions: VersionConstraint,
     ): List<EndpointHandle> {
-        val inService = context.routing.endpointsOf(call.service).filter(::inService)
-        val preferred = inService.filter { versions.allows(it.state.listing.version) }
-        return if (preferred.isEmpty() && versions.allowsFallback) inService else preferred
+        val accepting = context.routing.endpointsOf(call.service).filter(::acceptsRequests)
+        val preferred = accepting.filter { versions.allows(it.state.listing.version) }
+        return if (preferred.isEmpty() && versions.allowsFallback) accepting else preferred
     }
 
-    private fun inService(endpoint: EndpointHandle): Boolean {
+    private fun acceptsRequests(endpoint: EndpointHandle): Boolean {
         val listing = endpoint.state.listing
-        return !listing.leaving && listing.failureDomain.value !in context.routing.evacuated
+        return !listing.leaving && listing.failureDomain.value !in context.routing.evacuatedDomains
     }
 
-    /** The best of [usable], one that was not [tried] if there is any. */
+    /** Returns the best of [eligible], preferring endpoints that were not [tried]; null if none admits the request. */
     fun choose(
-        usable: List<EndpointHandle>,
+        eligible: List<EndpointHandle>,
         tried: Set<EndpointId>,
-        demand: PlacementRequest,
+        request: PlacementRequest,
     ): EndpointHandle? {
-        val untried = usable.filter { it.state.listing.id !in tried }
-        return best(untried, demand) ?: best(usable - untried.toSet(), demand)
+        val untriedEndpoints = eligible.filter { it.state.listing.id !in tried }
+        return best(untriedEndpoints, request) ?: best(eligible - untriedEndpoints.toSet(), request)
     }
 
-    /** Milliseconds until the best of [usable] is expected to begin its answer. */
+    /** Milliseconds until the best of [eligible] is expected to begin its response. */
     fun expectedMillis(
-        usable: List<EndpointHandle>,
-        demand: PlacementRequest,
-    ): Double = context.placement.expectedFirstTokenMillis(usable.map { it.state }, demand, context.clock.nanos())
+        eligible: List<EndpointHandle>,
+        request: PlacementRequest,
+    ): Double = context.placement.expectedFirstTokenMillis(eligible.map { it.state }, request, context.clock.nanos())
 
-    /** Milliseconds of reading that wait at one of [usable] on average. */
-    fun backlogMillis(usable: List<EndpointHandle>): Double =
-        context.placement.averagePrefillBacklogMillis(usable.map { it.state }, context.clock.nanos())
+    /** Average backlog of queued prefill at one of [eligible], in milliseconds. */
+    fun backlogMillis(eligible: List<EndpointHandle>): Double =
+        context.placement.averagePrefillBacklogMillis(eligible.map { it.state }, context.clock.nanos())
 
     private fun best(
-        among: List<EndpointHandle>,
-        demand: PlacementRequest,
+        candidates: List<EndpointHandle>,
+        request: PlacementRequest,
     ): EndpointHandle? {
-        val chosen = context.placement.choose(among.map { it.state }, demand, context.clock.nanos()) ?: return null
-        return among.first { it.state === chosen }
+        val chosen =
+            context.placement.choose(candidates.map { it.state }, request, context.clock.nanos()) ?: return null
+        return candidates.first { it.state === chosen }
     }
 
-    /** What placing a call on [model] needs to know; null for the model of plain services. */
-    fun demandOf(
+    /** Builds the placement request for [demand] on [model], which is null for plain services. */
+    fun placementRequest(
         demand: CallDemand,
         model: String?,
     ): PlacementRequest {
-        val shared = demand.promptParts.dropLast(1).lastOrNull()
+        val sharedPrefix = demand.promptParts.dropLast(1).lastOrNull()
         return PlacementRequest(
             model.orEmpty(),
             demand.promptTokens,
             demand.promptParts,
-            shared?.let { "${it.id}/$model" },
+            sharedPrefix?.let { "${it.id}/$model" },
         )
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Watchdog.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Watchdog.kt
@@ -3,32 +3,32 @@
 import io.netty.channel.EventLoop
 import java.util.concurrent.TimeUnit
 
-/** Looks after all attempts in work with one timer. Lives on the event loop. */
+/** Checks all attempts in flight for stalls, with one timer. Must be used on the event loop only. */
 internal class Watchdog(
     private val loop: EventLoop,
 ) {
     private val watched = LinkedHashSet<Attempt>()
-    private var ticking = false
+    private var isScheduled = false
 
     fun watch(attempt: Attempt) {
         watched += attempt
-        if (ticking) return
-        ticking = true
-        loop.schedule(::tick, TICK_MILLIS, TimeUnit.MILLISECONDS)
+        if (isScheduled) return
+        isScheduled = true
+        loop.schedule(::checkAll, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)
     }
 
     fun release(attempt: Attempt) {
         watched -= attempt
     }
 
-    private fun tick() {
-        watched.toList().forEach { it.check() }
-        ticking = watched.isNotEmpty()
-        if (ticking) loop.schedule(::tick, TICK_MILLIS, TimeUnit.MILLISECONDS)
+    private fun checkAll() {
+        watched.toList().forEach { it.checkStalled() }
+        isScheduled = watched.isNotEmpty()
+        if (isScheduled) loop.schedule(::checkAll, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)
     }
 
     private companion object {
-        /** Small beside the shortest patience. */
-        const val TICK_MILLIS = 50L
+        /** Short compared with the shortest stall timeout. */
+        const val CHECK_INTERVAL_MILLIS = 50L
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerServer.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/CallerServer.kt
@@ -10,24 +10,24 @@
 import io.netty.handler.codec.http.HttpResponseEncoder
 import java.net.InetSocketAddress
 
-/** Listens for callers. Lives on the event loop, but for [listen]. */
+/** Listens for callers and tracks their connections. Must be used on the event loop only, except [listen]. */
 internal class CallerServer(
     private val group: EventLoopGroup,
     private val limits: () -> CallerLimits,
-    private val closing: () -> Boolean,
+    private val isStopping: () -> Boolean,
     private val handler: RequestHandler,
 ) {
     private val connections = HashSet<CallerConnection>()
 
-    /** Whether any caller waits for an answer or is sending a request. */
-    val busy: Boolean get() = connections.any { it.busy }
+    /** Whether any caller is waiting for a response or is sending a request. */
+    val isBusy: Boolean get() = connections.any { it.isBusy }
 
-    /** Opens the port at [address], an `ip:port`. */
+    /** Binds to [address], an `ip:port`. */
     fun listen(address: String): Channel {
         val bootstrap = ServerBootstrap().group(group).channel(NioServerSocketChannel::class.java)
         bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG)
         bootstrap.option(ChannelOption.SO_REUSEADDR, true)
-        SocketOptions.KEEP_ALIVE.forEach { (option, value) -> bootstrap.set(option, value) }
+        SocketOptions.COMMON.forEach { (option, value) -> bootstrap.setChildOption(option, value) }
         bootstrap.childHandler(
             object : ChannelInitializer<Channel>() {
                 override fun initChannel(channel: Channel) = accept(channel)
@@ -38,7 +38,7 @@
     }
 
     private fun accept(channel: Channel) {
-        val connection = CallerConnection(limits, handler, closing, connections::remove)
+        val connection = CallerConnection(limits, handler, isStopping, connections::remove)
         connections += connection
         channel.pipeline().addLast(
             FirstByteHandler(connection),
@@ -49,18 +49,18 @@
     }
 
     @Suppress("UNCHECKED_CAST")
-    private fun ServerBootstrap.set(
+    private fun ServerBootstrap.setChildOption(
         option: ChannelOption<*>,
         value: Any,
     ) {
         childOption(option as ChannelOption<Any>, value)
     }
 
-    /** Ends the connections on which no request is being read or served. */
+    /** Closes the connections on which no request is being read or served. */
     fun closeIdle(): Unit = connections.toList().forEach { it.closeIfIdle() }
 
     private companion object {
-        /** Connections that come at once when a failure domain's callers move here. */
+        /** Accommodates the burst of connections when the callers of a failure domain move to this router. */
         const val BACKLOG = 1_024
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundCall.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/net/OutboundCall.kt
@@ -1,24 +1,27 @@
 package dev.almondhaven.gateway.net
 
-/** A request that was handed to a [ConnectionPool], on its way or in work. */
+/** Handle of a request that was passed to a [ConnectionPool]. */
 internal class OutboundCall {
     private var connection: OutboundConnection? = null
 
-    /** Whether the caller has lost interest; a connection that opens afterwards is kept for others. */
-    var cancelled = false
+    /** Whether the request was cancelled; a connection that opens afterwards is returned to the pool. */
+    var isCancelled = false
         private set
 
-    fun carriedBy(connection: OutboundConnection) {
+    fun attach(connection: OutboundConnection) {
         this.connection = connection
     }
 
-    /** Ends the request, and by that its work at the other end. Must not be called after its answer has ended. */
+    /**
+     * Cancels the request by closing its connection, which also ends the work at the peer. Must not be called after the
+     * response has ended.
+     */
     fun cancel() {
-        cancelled = true
+        isCancelled = true
         connection?.cancel()
     }
 
-    fun read(enabled: Boolean) {
-        connection?.read(enabled)
+    fun setAutoRead(enabled: Boolean) {
+        connection?.setAutoRead(enabled)
     }
 }
