--- a/router/src/main/kotlin/dev/almondhaven/router/AnswerWriter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/AnswerWriter.kt
@@ -14,44 +14,44 @@
 import kotlin.math.ceil
 import kotlin.time.DurationUnit
 
-/** Writes an [Answer] as an HTTP response. */
+/** Converts an [Answer] to an HTTP response. */
 internal object AnswerWriter {
-    /** The response for [answer] to [exchange]; [onFailedFrame] hears of a stream that ends with an error. */
-    fun write(
+    /** The response for [answer]; [onFailedFrame] is called if the answer is a stream that ends with an error frame. */
+    fun toResponse(
         exchange: Exchange,
         answer: Answer,
         onFailedFrame: (Refusal) -> Unit,
     ): HttpResponse =
         when (answer) {
-            is Answer.Whole -> HttpResponse.of(headers(exchange, answer.status, answer.contentType), answer.body)
-            is Answer.Streamed -> stream(exchange, answer, onFailedFrame)
-            is Answer.Refused -> refusal(exchange, answer.refusal)
+            is Answer.Whole -> HttpResponse.of(buildHeaders(exchange, answer.status, answer.contentType), answer.body)
+            is Answer.Streamed -> streamResponse(exchange, answer, onFailedFrame)
+            is Answer.Refused -> errorResponse(exchange, answer.refusal)
         }
 
-    private fun stream(
+    private fun streamResponse(
         exchange: Exchange,
         answer: Answer.Streamed,
         onFailedFrame: (Refusal) -> Unit,
     ): HttpResponse {
-        val data =
+        val events =
             answer.frames.map { frame ->
                 if (frame is AnswerFrame.Failed) onFailedFrame(frame.refusal)
-                HttpData.ofUtf8(eventText(exchange, frame))
+                HttpData.ofUtf8(formatEvent(exchange, frame))
             }
-        return HttpResponse.of(headers(exchange, HttpStatus.OK, MediaType.EVENT_STREAM), data)
+        return HttpResponse.of(buildHeaders(exchange, HttpStatus.OK, MediaType.EVENT_STREAM), events)
     }
 
-    private fun eventText(
+    private fun formatEvent(
         exchange: Exchange,
         frame: AnswerFrame,
     ): String =
         when (frame) {
             is AnswerFrame.Token -> "id: ${frame.sequence}\ndata: ${frame.data}\n\n"
             AnswerFrame.Finished -> "data: [DONE]\n\n"
-            is AnswerFrame.Failed -> "event: error\ndata: ${errorText(exchange, frame.refusal)}\n\n"
+            is AnswerFrame.Failed -> "event: error\ndata: ${errorJson(exchange, frame.refusal)}\n\n"
         }
 
-    private fun refusal(
+    private fun errorResponse(
         exchange: Exchange,
         refusal: Refusal,
     ): HttpResponse {
@@ -60,15 +60,15 @@
         refusal.retryAfter?.let {
             builder.set(HttpHeaderNames.RETRY_AFTER, "${maxOf(1, ceil(it.toDouble(DurationUnit.SECONDS)).toLong())}")
         }
-        return HttpResponse.of(builder.build(), HttpData.ofUtf8(errorText(exchange, refusal)))
+        return HttpResponse.of(builder.build(), HttpData.ofUtf8(errorJson(exchange, refusal)))
     }
 
-    private fun errorText(
+    private fun errorJson(
         exchange: Exchange,
         refusal: Refusal,
     ): String = ErrorBody.of(refusal, exchange.requestId.value).toJson()
 
-    private fun headers(
+    private fun buildHeaders(
         exchange: Exchange,
         status: HttpStatus,
         contentType: MediaType,
--- a/router/src/main/kotlin/dev/almondhaven/router/CallerErrorHandler.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/CallerErrorHandler.kt
@@ -11,7 +11,10 @@
 import dev.almondhaven.model.Refusal
 import dev.almondhaven.model.ResultCode
 
-/** Gives requests that the HTTP server itself refuses the same numbered JSON as any other error. */
+/**
+ * Renders errors that the HTTP server detects before the filter chain runs, such as an oversized body, in the same JSON
+ * format as the router's own errors.
+ */
 internal object CallerErrorHandler : ServerErrorHandler {
     override fun onServiceException(
         context: ServiceRequestContext,
--- a/router/src/main/kotlin/dev/almondhaven/router/CallerService.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/CallerService.kt
@@ -26,11 +26,11 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Takes callers' requests, runs them through the filter chain and writes the answers. */
+/** HTTP service for callers: passes each request through the filter chain and returns its answer as the response. */
 internal class CallerService(
     private val handler: RequestHandler,
     private val metrics: RouterMetrics,
-    private val billing: BillingRecorder,
+    private val billingRecorder: BillingRecorder,
     private val requestTimeout: Duration,
     private val clock: NanoClock,
 ) : HttpService {
@@ -40,43 +40,49 @@
     ): HttpResponse =
         HttpResponse.of(
             request.aggregate().handle { aggregated, cause ->
-                if (cause != null) unreadable(context, request.headers(), cause) else answer(context, aggregated)
+                if (cause !=
+                    null
+                ) {
+                    rejectUnreadable(context, request.headers(), cause)
+                } else {
+                    handleRequest(context, aggregated)
+                }
             },
         )
 
-    private fun answer(
+    private fun handleRequest(
         context: ServiceRequestContext,
         request: AggregatedHttpRequest,
     ): HttpResponse {
-        val exchange = exchangeOf(context, request.headers(), request.content())
-        billing.attach(exchange)
+        val exchange = createExchange(context, request.headers(), request.content())
+        billingRecorder.attach(exchange)
         val response =
             handler
                 .handle(exchange)
-                .exceptionally { unexpected(exchange, it) }
-                .thenApply { respond(context, exchange, it) }
+                .exceptionally { internalError(exchange, it) }
+                .thenApply { writeAnswer(context, exchange, it) }
         return HttpResponse.of(response)
     }
 
-    private fun respond(
+    private fun writeAnswer(
         context: ServiceRequestContext,
         exchange: Exchange,
         answer: Answer,
     ): HttpResponse {
         (answer as? Answer.Refused)?.let { exchange.journal.recordRefusal(it.refusal) }
-        val response = AnswerWriter.write(exchange, answer) { exchange.journal.recordRefusal(it) }
-        context.log().whenComplete().thenRun { ended(exchange) }
+        val response = AnswerWriter.toResponse(exchange, answer) { exchange.journal.recordRefusal(it) }
+        context.log().whenComplete().thenRun { recordEnd(exchange) }
         return response
     }
 
-    private fun ended(exchange: Exchange) {
+    private fun recordEnd(exchange: Exchange) {
         exchange.journal.recordEnd()
         val organisation = exchange.journal.organisation?.value ?: NO_ORGANISATION
         val seconds = clock.elapsed(exchange.arrivedAt).toDouble(DurationUnit.SECONDS)
-        metrics.countRequest(organisation, exchange.journal.refusal?.code, seconds)
+        metrics.recordRequest(organisation, exchange.journal.refusal?.code, seconds)
     }
 
-    private fun unexpected(
+    private fun internalError(
         exchange: Exchange,
         failure: Throwable,
     ): Answer {
@@ -86,18 +92,18 @@
         return Answer.Refused(Refusal(ResultCode.INTERNAL_ERROR, "unexpected error", outcome))
     }
 
-    private fun unreadable(
+    private fun rejectUnreadable(
         context: ServiceRequestContext,
         headers: RequestHeaders,
         cause: Throwable,
     ): HttpResponse {
-        val exchange = exchangeOf(context, headers, HttpData.empty())
+        val exchange = createExchange(context, headers, HttpData.empty())
         val code =
             if (cause is ContentTooLargeException) ResultCode.BODY_TOO_LARGE else ResultCode.MALFORMED_REQUEST
-        return respond(context, exchange, Answer.Refused(Refusal.notRun(code, "${cause.message}")))
+        return writeAnswer(context, exchange, Answer.Refused(Refusal.notRun(code, "${cause.message}")))
     }
 
-    private fun exchangeOf(
+    private fun createExchange(
         context: ServiceRequestContext,
         headers: RequestHeaders,
         body: HttpData,
@@ -121,13 +127,13 @@
 
     private fun newRequestId(): String {
         val random = ThreadLocalRandom.current()
-        return random.nextLong().toULong().toString(HEXADECIMAL) + random.nextLong().toULong().toString(HEXADECIMAL)
+        return random.nextLong().toULong().toString(HEX_RADIX) + random.nextLong().toULong().toString(HEX_RADIX)
     }
 
     private companion object {
-        /** Milliseconds that the caller waits at most. */
+        /** Header with the longest time that the caller waits, in milliseconds. */
         const val TIMEOUT_HEADER = "x-timeout-ms"
         const val NO_ORGANISATION = "none"
-        const val HEXADECIMAL = 16
+        const val HEX_RADIX = 16
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/ErrorBody.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/ErrorBody.kt
@@ -6,21 +6,16 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/**
- * The JSON that callers get for an error.
- *
- * @property code number of the result code.
- * @property type name of the result code.
- */
+/** The JSON body of an error response. */
 @Serializable
 public data class ErrorBody(
     public val error: ErrorDetail,
 ) {
-    /** Writes the JSON text. */
+    /** Serializes the body to JSON text. */
     public fun toJson(): String = Json.encodeToString(serializer(), this)
 
     public companion object {
-        /** The body for [refusal] of the request with [requestId]. */
+        /** The body that reports [refusal] for the request with [requestId]. */
         public fun of(
             refusal: Refusal,
             requestId: String,
@@ -37,7 +32,12 @@
     }
 }
 
-/** The fields of an [ErrorBody]. */
+/**
+ * The fields of an [ErrorBody].
+ *
+ * @property code number of the result code.
+ * @property type name of the result code, in lower case.
+ */
 @Serializable
 public data class ErrorDetail(
     public val code: Int,
--- a/router/src/main/kotlin/dev/almondhaven/router/ModelSelectionModule.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/ModelSelectionModule.kt
@@ -24,27 +24,27 @@
 import org.apache.commons.rng.simple.RandomSource
 import java.time.InstantSource
 
-/** The parts of the router that choose models and versions, put together. */
+/** Builds and owns the components that select the model version of each request. */
 internal class ModelSelectionModule(
-    private val holder: CatalogueHolder,
+    private val catalogueHolder: CatalogueHolder,
     self: RouterId,
     private val settings: ChoiceSettings,
     private val clock: NanoClock,
-    private val routers: () -> Int,
+    private val routerCount: () -> Int,
 ) : AutoCloseable {
-    private val controller = ChoiceController(self, holder, ::limits)
+    private val controller = ChoiceController(self, catalogueHolder, ::trialLimits)
     private val poller =
         settings.ratingsAddress?.let { RatingPoller(it, settings.ratingsInterval, controller::rate) }
 
-    /** What a request may run on; asked again before every dispatch. */
-    val policy: VersionPolicy = VersionPolicy(holder) { controller.snapshot.quarantines }
+    /** Decides which versions a request may run on; checked again before each dispatch. */
+    val policy: VersionPolicy = VersionPolicy(catalogueHolder) { controller.snapshot.quarantines }
 
-    /** What routers pool. */
+    /** Gossip topics that share quarantines and quality evidence between routers. */
     val topics: List<GossipTopic> = listOf(QuarantineTopic(controller), EvidenceTopic(controller))
 
-    /** The filter that chooses. */
-    fun filter(): ModelChoiceFilter {
-        val load = VersionLoad(holder, routers)
+    /** Creates the filter that selects a version for each request. */
+    fun createFilter(): ModelChoiceFilter {
+        val load = VersionLoad(catalogueHolder, routerCount)
         val limits = ExplorationLimits(settings.exploredRequestShare, settings.exploredCostShare)
         val exploration = ExplorationBudget(limits, RandomSource.XO_RO_SHI_RO_128_PP.create())
         val planner = RequestPlanner(policy, controller, exploration, load, clock, InstantSource.system())
@@ -52,8 +52,8 @@
         return ModelChoiceFilter(planner, steps, CascadeRunner(steps, clock))
     }
 
-    /** Answers operators who ask for the report on roll-outs. */
-    val reporting: PeerHandler =
+    /** Returns the roll-out report as JSON; operators read it over the peer protocol. */
+    val rollOutReportHandler: PeerHandler =
         PeerHandler { Json.encodeToString(RollOutReport.serializer(), controller.report()) }
 
     fun start() {
@@ -66,5 +66,6 @@
         controller.close()
     }
 
-    private fun limits(): TrialLimits = TrialLimits(rollOutFalseAlarm = settings.rollOutFalseAlarm, routers = routers())
+    private fun trialLimits(): TrialLimits =
+        TrialLimits(rollOutFalseAlarm = settings.rollOutFalseAlarm, routers = routerCount())
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/Router.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/Router.kt
@@ -56,7 +56,8 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * One router process: the server for callers, the filter chain and the controllers, put together from settings.
+ * One router process, built from settings: the HTTP server for callers, the filter chain and the background
+ * controllers.
  *
  * ```
  * Router.start(settings).use { router -> call(router.port) }
@@ -64,73 +65,79 @@
  */
 public class Router private constructor(
     private val settings: RouterSettings,
-    platform: ObjectStore,
+    platformObjects: ObjectStore,
 ) : AutoCloseable {
     private val clock = NanoClock.SYSTEM
     private val metrics = RouterMetrics()
-    private val holder = CatalogueHolder()
+    private val catalogueHolder = CatalogueHolder()
     private val staleAfter = settings.peers?.staleAfter ?: PeerSettings.DEFAULT_STALE_AFTER
     private val freshness = ConfigurationFreshness(staleAfter, clock.nanos())
     private val workers = EndpointClients.newWorkers(Runtime.getRuntime().availableProcessors())
     private val clients = EndpointClients(workers, settings.endpoints.connectTimeout, settings.endpoints.pingInterval)
     private val peers = PeerNetwork.open(settings.peers, settings.process.failureDomain)
-    private val objects = guardedObjects(platform, settings.platform, clock, metrics) { peers.view.members.size }
+    private val objects = guardedObjects(platformObjects, settings.platform, clock, metrics) { peers.view.members.size }
     private val sessions = SessionModule(settings.sessions, peers)
-    private val directory = EndpointDirectory(holder, peers.view, clock)
+    private val endpointDirectory = EndpointDirectory(catalogueHolder, peers.view, clock)
     private val waitingRoom = WaitingRoom(clock)
-    private val limiter = UsageLimiter(holder, peers.view, clock)
-    private val loadReports = LoadReportPoller(directory, clients, clock, settings.endpoints.statusInterval)
-    private val peerController = settings.peers?.let { PeerController(peers, it, holder, freshness, clock) }
+    private val limiter = UsageLimiter(catalogueHolder, peers.view, clock)
+    private val loadReports = LoadReportPoller(endpointDirectory, clients, clock, settings.endpoints.statusInterval)
+    private val peerController = settings.peers?.let { PeerController(peers, it, catalogueHolder, freshness, clock) }
     private val watcher =
-        ConfigurationWatcher(objects, holder, freshness, peers.view, settings.platform.watchWait, newRandom())
-    private val status = StatusReporter(peers, holder, freshness, clock, Lifecycle())
+        ConfigurationWatcher(objects, catalogueHolder, freshness, peers.view, settings.platform.watchWait, newRandom())
+    private val statusReporter = StatusReporter(peers, catalogueHolder, freshness, clock, Lifecycle())
     private val billing = BillingController(settings.billing, objects, clock, peers, metrics)
     private val claims = ClaimModule(settings.claims, objects, clock, peers)
-    private val choice =
-        ModelSelectionModule(holder, peers.self.id, settings.choice, clock, routers = { peers.view.members.size })
-    private val engineOrders = EngineOrderController(settings.engineOrders, holder, peers.view, objects, clock)
+    private val modelSelection =
+        ModelSelectionModule(
+            catalogueHolder,
+            peers.self.id,
+            settings.choice,
+            clock,
+            routerCount = { peers.view.members.size },
+        )
+    private val engineOrders = EngineOrderController(settings.engineOrders, catalogueHolder, peers.view, objects, clock)
     private val server = buildServer()
 
     @Volatile
     private var draining = false
 
-    /** Port for callers. */
+    /** The port on which the router listens for callers. */
     public val port: Int get() = server.activeLocalPort()
 
-    /** This router as its peers know it. */
+    /** This router's entry in the membership, as its peers see it. */
     public val self: Member get() = peers.self
 
     private inner class Lifecycle : StatusReporter.Lifecycle {
-        override val ready: Boolean get() = takesWork()
+        override val ready: Boolean get() = isReady()
         override val draining: Boolean get() = this@Router.draining
         override val platformReachable: Boolean get() = watcher.platformReachable
     }
 
     private fun start() {
-        addGauges()
+        registerGauges()
         peers.topics.register(limiter.gossip)
         clients.whenConnectionCloses { address ->
-            directory.recordConnectionLost(address)
+            endpointDirectory.recordConnectionLost(address)
             loadReports.pollSoon(address)
         }
         watcher.start()
         engineOrders.start()
-        choice.topics.forEach { peers.topics.register(it) }
-        peers.handlers.register(RollOutReport.PEER_PATH, choice.reporting)
-        choice.start()
+        modelSelection.topics.forEach { peers.topics.register(it) }
+        peers.handlers.register(RollOutReport.PEER_PATH, modelSelection.rollOutReportHandler)
+        modelSelection.start()
         server.start().join()
         LogEvent.ROUTER_STARTED.log(logger) { "port=$port domain=${settings.process.failureDomain}" }
     }
 
-    private fun addGauges() {
+    private fun registerGauges() {
         metrics.registerGauge("almondhaven_configuration_generation", "Generation in force on this router.") {
-            holder.generation.value.toDouble()
+            catalogueHolder.generation.value.toDouble()
         }
         metrics.registerGauge(
             "almondhaven_configuration_stale_seconds",
             "Time unconfirmed by the platform; 0 when fresh.",
         ) {
-            status.staleSince()?.let { (System.currentTimeMillis() - it) / MILLIS_PER_SECOND } ?: 0.0
+            statusReporter.staleSince()?.let { (System.currentTimeMillis() - it) / MILLIS_PER_SECOND } ?: 0.0
         }
         metrics.registerGauge(
             "almondhaven_platform_reachable",
@@ -142,7 +149,7 @@
             "almondhaven_sessions_remembered",
             "Sessions known by their id that this router remembers.",
         ) {
-            sessions.remembered.toDouble()
+            sessions.rememberedCount.toDouble()
         }
         metrics.registerGauge("almondhaven_peer_members", "Routers in this router's view, itself included.") {
             peers.view.members.size
@@ -150,25 +157,25 @@
         }
     }
 
-    private fun chain(): RequestHandler =
+    private fun buildFilterChain(): RequestHandler =
         filterChain(
             listOf(
-                ConfigurationAgeFilter({ holder.generation }, status::staleSince),
+                ConfigurationAgeFilter({ catalogueHolder.generation }, statusReporter::staleSince),
                 IdempotencyOutcomeFilter,
-                DomainServiceFilter(holder, settings.process.failureDomain),
-                IdentifyFilter(holder),
-                ParseFilter(holder),
-                ModelListFilter(holder),
-                sessions.filter(holder),
+                DomainServiceFilter(catalogueHolder, settings.process.failureDomain),
+                IdentifyFilter(catalogueHolder),
+                ParseFilter(catalogueHolder),
+                ModelListFilter(catalogueHolder),
+                sessions.createFilter(catalogueHolder),
                 AdmissionFilter(settings.requests.inFlight, limiter),
                 claims.filter,
-                choice.filter(),
+                modelSelection.createFilter(),
                 RetryFilter(settings.endpoints, clock),
-                EndpointChoiceFilter(directory, waitingRoom, clock),
+                EndpointChoiceFilter(endpointDirectory, waitingRoom, clock),
             ),
             Dispatcher(
-                holder,
-                choice.policy,
+                catalogueHolder,
+                modelSelection.policy,
                 clients,
                 clock,
                 settings.endpoints.firstByteDeadline,
@@ -186,26 +193,29 @@
             .maxRequestLength(settings.requests.bodyBytes)
             .gracefulShutdownTimeoutMillis(QUIET_PERIOD.inWholeMilliseconds, settings.drain.timeout.inWholeMilliseconds)
             .service("/health/live", HttpService { _, _ -> HttpResponse.of(HttpStatus.OK) })
-            .service("/health/ready", HealthCheckService.of(HealthChecker { takesWork() }))
+            .service("/health/ready", HealthCheckService.of(HealthChecker { isReady() }))
             .service("/metrics", HttpService { _, _ -> metricsResponse() })
             .service(
                 "prefix:/",
                 CallerService(
-                    chain(),
+                    buildFilterChain(),
                     metrics,
-                    BillingRecorder(holder, billing::offer),
+                    BillingRecorder(catalogueHolder, billing::offer),
                     settings.requests.requestTimeout,
                     clock,
                 ),
             ).build()
 
-    private fun takesWork(): Boolean =
-        holder.configured && !draining && holder.index.inService(settings.process.failureDomain)
+    private fun isReady(): Boolean =
+        catalogueHolder.configured && !draining && catalogueHolder.index.inService(settings.process.failureDomain)
 
     private fun metricsResponse(): HttpResponse =
         HttpResponse.of(HttpStatus.OK, MediaType.PLAIN_TEXT_UTF_8, metrics.toPrometheusText())
 
-    /** Fails readiness, gives the balancer time to take the router out, and then closes as [close] does. */
+    /**
+     * Fails the readiness check, waits for the balancer to take the router out of rotation, and then closes as [close]
+     * does.
+     */
     public fun drain() {
         draining = true
         LogEvent.ROUTER_DRAINING.log(logger) { "delay=${settings.drain.balancerDelay}" }
@@ -213,7 +223,7 @@
         close()
     }
 
-    /** Stops listening, lets running requests finish within the drain timeout, and stops. */
+    /** Stops listening, waits for running requests up to the drain timeout, and then stops every component. */
     override fun close() {
         LogEvent.ROUTER_STOPPING.log(logger)
         draining = true
@@ -226,9 +236,9 @@
         loadReports.close()
         waitingRoom.close()
         limiter.close()
-        directory.close()
+        endpointDirectory.close()
         peers.close()
-        choice.close()
+        modelSelection.close()
         clients.close()
         workers.shutdownGracefully(0, 0, TimeUnit.SECONDS)
         LogEvent.ROUTER_STOPPED.log(logger)
@@ -243,11 +253,11 @@
 
         private fun newRandom(): UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create()
 
-        /** Starts a router against the platform that [settings] name. */
+        /** Starts a router that uses the platform at the address in [settings]. */
         public fun start(settings: RouterSettings): Router =
             start(settings, HttpObjectStore(URI(settings.platform.address), settings.platform.callTimeout))
 
-        /** Starts a router against [objects]. */
+        /** Starts a router that uses [objects] as the platform's object store. */
         public fun start(
             settings: RouterSettings,
             objects: ObjectStore,
--- a/router/src/main/kotlin/dev/almondhaven/router/RouterMain.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/RouterMain.kt
@@ -53,9 +53,12 @@
         { problems ->
             val code = ResultCode.INVALID_SETTINGS
             val lines = problems.joinToString("\n") { "  $it" }
-            throw CliktError("${code.number} ${code.name.lowercase()}: ${file.path}\n$lines", statusCode = EXIT_INVALID)
+            throw CliktError(
+                "${code.number} ${code.name.lowercase()}: ${file.path}\n$lines",
+                statusCode = EXIT_INVALID_SETTINGS,
+            )
         },
         { it },
     )
 
-private const val EXIT_INVALID = 2
+private const val EXIT_INVALID_SETTINGS = 2
--- a/router/src/main/kotlin/dev/almondhaven/router/RouterMetrics.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/RouterMetrics.kt
@@ -8,9 +8,9 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 import java.io.ByteArrayOutputStream
 
-/** The router's own metrics; `docs/OPERATIONS.md` says what each is good for. */
+/** Prometheus metrics of the router; `docs/OPERATIONS.md` describes each of them. */
 public class RouterMetrics {
-    /** Registry to which the parts of the router add their metrics. */
+    /** Registry to which the components of the router add their metrics. */
     public val registry: PrometheusRegistry = PrometheusRegistry()
 
     private val requests =
@@ -20,7 +20,7 @@
             .help("Requests by organisation and result code; 0 is success.")
             .labelNames("organisation", "code")
             .register(registry)
-    private val duration =
+    private val requestDuration =
         Histogram
             .builder()
             .name("almondhaven_request_duration_seconds")
@@ -29,17 +29,17 @@
             .classicUpperBounds(0.001, 0.005, 0.01, 0.05, 0.1, 0.5, 1.0, 5.0, 30.0, 60.0)
             .register(registry)
 
-    /** Counts an ended request; [code] is null when it succeeded. */
-    public fun countRequest(
+    /** Records a completed request and its duration; [code] is null if the request succeeded. */
+    public fun recordRequest(
         organisation: String,
         code: ResultCode?,
         seconds: Double,
     ) {
         requests.labelValues(organisation, "${code?.number ?: 0}").inc()
-        duration.observe(seconds)
+        requestDuration.observe(seconds)
     }
 
-    /** Registers a gauge that is read whenever the metrics are. */
+    /** Registers a gauge whose value is read with [read] at each scrape. */
     public fun registerGauge(
         name: String,
         help: String,
@@ -53,7 +53,7 @@
             .register(registry)
     }
 
-    /** All metrics in the Prometheus text format. */
+    /** Formats all metrics in the Prometheus text format. */
     public fun toPrometheusText(): String {
         val output = ByteArrayOutputStream()
         PrometheusTextFormatWriter.create().write(output, registry.scrape())
--- a/router/src/test/kotlin/dev/almondhaven/router/EndpointFailoverTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/EndpointFailoverTest.kt
@@ -25,26 +25,27 @@
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class EndpointFailoverTest {
-    private val silence = EndpointSettings(firstByteDeadline = 200.milliseconds, tokenDeadline = 200.milliseconds)
-    private val deployment = TestDeployment(moreEngines = 2, endpointSettings = silence).publish()
-    private val engines = listOf(deployment.engine) + deployment.moreEngines
+    private val shortDeadlines =
+        EndpointSettings(firstByteDeadline = 200.milliseconds, tokenDeadline = 200.milliseconds)
+    private val deployment = TestDeployment(extraEngineCount = 2, endpointSettings = shortDeadlines).publish()
+    private val engines = listOf(deployment.engine) + deployment.extraEngines
 
-    private val whole = """{"messages":[],"max_tokens":6}"""
-    private val streamed = """{"stream":true,"messages":[],"max_tokens":6}"""
-    private val everyEvent = (1..7).map { "id: $it" } + "data: [DONE]"
+    private val unaryRequest = """{"messages":[],"max_tokens":6}"""
+    private val streamedRequest = """{"stream":true,"messages":[],"max_tokens":6}"""
+    private val allEventLabels = (1..7).map { "id: $it" } + "data: [DONE]"
 
     @BeforeEach
-    fun calm() {
+    fun resetEngines() {
         engines.forEach { it.behaviour = EngineBehaviour() }
     }
 
     @AfterAll
-    fun stop() {
+    fun closeDeployment() {
         deployment.close()
     }
 
-    /** Gives [fault] to every engine but the last one. */
-    private fun spoil(
+    /** Injects [fault] into every engine but the last one. */
+    private fun injectFault(
         fault: EngineFault,
         resumes: Boolean = true,
     ) {
@@ -52,69 +53,69 @@
         engines.last().behaviour = EngineBehaviour(resumes = resumes)
     }
 
-    private fun events(): List<String> =
+    private fun streamedEventLabels(): List<String> =
         deployment
-            .send(streamed)
+            .send(streamedRequest)
             .contentUtf8()
             .trim()
             .split("\n\n")
             .map { it.substringBefore("\ndata:") }
 
     @Nested
-    inner class `a streamed answer whose endpoint is lost midway` {
+    inner class `a streamed answer whose endpoint fails midway` {
         @ParameterizedTest
         @ValueSource(booleans = [true, false])
-        fun `goes on at another without gap or repetition`(resumes: Boolean) {
-            spoil(EngineFault.HALF_ANSWER, resumes)
+        fun `resumes on another endpoint without gaps or repeated events`(resumes: Boolean) {
+            injectFault(EngineFault.HALF_ANSWER, resumes)
 
-            repeat(6) { expectThat(events()).isEqualTo(everyEvent) }
+            repeat(6) { expectThat(streamedEventLabels()).isEqualTo(allEventLabels) }
         }
 
         @Test
-        fun `goes on when the endpoint only falls silent`() {
-            spoil(EngineFault.SILENT_MIDWAY)
+        fun `resumes on another endpoint when the first stops sending`() {
+            injectFault(EngineFault.SILENT_MIDWAY)
 
-            expectThat(events()).isEqualTo(everyEvent)
+            expectThat(streamedEventLabels()).isEqualTo(allEventLabels)
         }
 
         @Test
-        fun `ends with one numbered error when no other is left`() {
+        fun `ends with one error event when no other endpoint is left`() {
             engines.forEach { it.behaviour = EngineBehaviour(fault = EngineFault.HALF_ANSWER) }
 
-            expectThat(events()).containsExactly("id: 1", "id: 2", "id: 3", "event: error")
+            expectThat(streamedEventLabels()).containsExactly("id: 1", "id: 2", "id: 3", "event: error")
         }
     }
 
     @Nested
-    inner class `a whole answer` {
+    inner class `a non-streaming request` {
         @Test
-        fun `comes from another endpoint when the first fails`() {
-            spoil(EngineFault.ERROR)
+        fun `is retried on another endpoint when the first one fails`() {
+            injectFault(EngineFault.ERROR)
 
-            expectThat(List(6) { deployment.send(whole).status().code() }.toSet()).containsExactly(200)
+            expectThat(List(6) { deployment.send(unaryRequest).status().code() }.toSet()).containsExactly(200)
         }
 
         @Test
-        fun `comes from another endpoint when the first takes the request and never answers`() {
-            spoil(EngineFault.SILENT)
+        fun `is retried on another endpoint when the first one accepts it and never responds`() {
+            injectFault(EngineFault.SILENT)
 
-            expectThat(deployment.send(whole).status().code()).isEqualTo(200)
+            expectThat(deployment.send(unaryRequest).status().code()).isEqualTo(200)
         }
 
         @Test
-        fun `that every endpoint fails is an error with an honest outcome`() {
+        fun `that fails on every endpoint returns an error with outcome unknown`() {
             engines.forEach { it.behaviour = EngineBehaviour(fault = EngineFault.ERROR) }
 
-            val error = Json.decodeFromString(ErrorBody.serializer(), deployment.send(whole).contentUtf8()).error
+            val error = Json.decodeFromString(ErrorBody.serializer(), deployment.send(unaryRequest).contentUtf8()).error
 
             expectThat(error.code to error.outcome).isEqualTo(ResultCode.ENDPOINT_FAILED.number to Outcome.UNKNOWN)
         }
     }
 
     @Nested
-    inner class `an endpoint that can't be reached` {
+    inner class `an endpoint that refuses connections` {
         @Test
-        fun `leaves a request that truly has not run`() {
+        fun `returns an error with outcome not_run`() {
             val closedPort = ServerSocket(0).use { "127.0.0.1:${it.localPort}" }
             val note =
                 releaseNote("unreachable", reason = "test") {
@@ -139,9 +140,9 @@
     }
 
     @Nested
-    inner class `a caller that leaves` {
+    inner class `a caller that disconnects` {
         @Test
-        fun `cancels the engine's work`() {
+        fun `cancels its request on the engine`() {
             engines.forEach { it.behaviour = EngineBehaviour(betweenTokens = 20.milliseconds) }
             val before = engines.sumOf { it.cancellations }
             val response = deployment.sendStreaming("""{"stream":true,"messages":[],"max_tokens":100000}""")
@@ -154,15 +155,15 @@
     }
 
     @Nested
-    inner class `a planned stop` {
+    inner class `a drain` {
         @Test
-        fun `fails readiness first and cuts no request`() {
+        fun `fails the readiness check first and completes running requests`() {
             val slow = EngineBehaviour(timeToFirstToken = 400.milliseconds)
-            TestDeployment(slow).publish().use { leaving ->
-                val answer = CompletableFuture.supplyAsync { leaving.send(whole) }
-                check(eventually { leaving.engine.records.isNotEmpty() }) { "the request didn't reach the engine" }
-                val drained = CompletableFuture.runAsync { leaving.router.drain() }
-                val unready = eventually { leaving.get("/health/ready").status().code() == 503 }
+            TestDeployment(slow).publish().use { draining ->
+                val answer = CompletableFuture.supplyAsync { draining.send(unaryRequest) }
+                check(eventually { draining.engine.records.isNotEmpty() }) { "the request didn't reach the engine" }
+                val drained = CompletableFuture.runAsync { draining.router.drain() }
+                val unready = eventually { draining.get("/health/ready").status().code() == 503 }
                 drained.join()
 
                 expectThat(unready to answer.join().status().code()).isEqualTo(true to 200)
--- a/router/src/test/kotlin/dev/almondhaven/router/RouterRequestTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/RouterRequestTest.kt
@@ -23,25 +23,25 @@
 class RouterRequestTest {
     private val deployment = TestDeployment().publish()
 
-    private val request = """{"model":"auto","messages":[{"role":"user","content":"hi"}],"max_tokens":3}"""
+    private val unaryRequest = """{"model":"auto","messages":[{"role":"user","content":"hi"}],"max_tokens":3}"""
     private val streamedRequest = """{"stream":true,"messages":[],"max_tokens":3}"""
 
     @BeforeEach
-    fun calm() {
+    fun resetEngine() {
         deployment.engine.behaviour = EngineBehaviour()
     }
 
     @AfterAll
-    fun stop() {
+    fun closeDeployment() {
         deployment.close()
     }
 
-    private fun error(response: AggregatedHttpResponse): Pair<Int, Outcome> {
+    private fun errorOf(response: AggregatedHttpResponse): Pair<Int, Outcome> {
         val detail = Json.decodeFromString(ErrorBody.serializer(), response.contentUtf8()).error
         return detail.code to detail.outcome
     }
 
-    private fun events(response: AggregatedHttpResponse): List<String> =
+    private fun eventLabelsOf(response: AggregatedHttpResponse): List<String> =
         response
             .contentUtf8()
             .trim()
@@ -51,8 +51,8 @@
     @Nested
     inner class `a request to a model` {
         @Test
-        fun `gets its whole answer and the version that gave it`() {
-            val response = deployment.send(request)
+        fun `returns the complete answer and names the version that produced it`() {
+            val response = deployment.send(unaryRequest)
 
             expectThat(response.status()).isEqualTo(HttpStatus.OK)
             expectThat(response.headers().get("x-almondhaven-model")).isEqualTo("slate@1")
@@ -60,25 +60,25 @@
         }
 
         @Test
-        fun `is streamed in order with one end`() {
+        fun `is streamed in order with exactly one end event`() {
             val response = deployment.send(streamedRequest)
 
-            expectThat(events(response)).containsExactly("id: 1", "id: 2", "id: 3", "id: 4", "data: [DONE]")
+            expectThat(eventLabelsOf(response)).containsExactly("id: 1", "id: 2", "id: 3", "id: 4", "data: [DONE]")
         }
 
         @Test
-        fun `runs once on the engine`() {
+        fun `is sent to the engine once`() {
             val before = deployment.engine.records.size
-            deployment.send(request)
+            deployment.send(unaryRequest)
 
             expectThat(deployment.engine.records).hasSize(before + 1)
         }
     }
 
     @Nested
-    inner class `a call of a service` {
+    inner class `a call to a plain service` {
         @Test
-        fun `reaches it with its path and query`() {
+        fun `is forwarded with its path and query`() {
             val response = deployment.send("", "/services/orders/stock/slates?size=3", HttpMethod.GET)
 
             expectThat(response.status()).isEqualTo(HttpStatus.OK)
@@ -86,17 +86,17 @@
         }
 
         @Test
-        fun `that isn't declared is refused as not run`() {
+        fun `that is not declared is rejected with outcome not_run`() {
             val response = deployment.send("", "/services/orders/orders", HttpMethod.DELETE)
 
-            expectThat(error(response)).isEqualTo(ResultCode.UNKNOWN_SERVICE.number to Outcome.NOT_RUN)
+            expectThat(errorOf(response)).isEqualTo(ResultCode.UNKNOWN_SERVICE.number to Outcome.NOT_RUN)
         }
     }
 
     @Nested
-    inner class `bad input` {
+    inner class `an invalid request` {
         @Test
-        fun `before any configuration is refused as not run`() {
+        fun `is rejected with outcome not_run while the router has no configuration`() {
             TestDeployment().use { unconfigured ->
                 val ready =
                     unconfigured.client
@@ -105,22 +105,22 @@
                         .join()
 
                 expectThat(ready.status().isSuccess).isFalse()
-                expectThat(error(unconfigured.send(request)))
+                expectThat(errorOf(unconfigured.send(unaryRequest)))
                     .isEqualTo(ResultCode.NOT_CONFIGURED.number to Outcome.NOT_RUN)
             }
         }
 
         @Test
-        fun `gets a numbered refusal each`() {
+        fun `is rejected with the result code of its fault`() {
             val codes =
                 listOf(
                     deployment.send("{"),
                     deployment.send("{}"),
                     deployment.send("""{"model":"granite","messages":[]}"""),
-                    deployment.send(request, token = "wrong"),
+                    deployment.send(unaryRequest, token = "wrong"),
                     deployment.send("", path = "/nowhere"),
                     deployment.send("x".repeat(9_000_000)),
-                ).map { error(it) }
+                ).map { errorOf(it) }
 
             expectThat(codes).containsExactly(
                 ResultCode.MALFORMED_REQUEST.number to Outcome.NOT_RUN,
@@ -136,24 +136,24 @@
     @Nested
     inner class `an engine` {
         @Test
-        fun `that sends garbage ends the stream with one numbered error`() {
+        fun `that sends malformed chunks ends the stream with one error event`() {
             deployment.engine.behaviour = EngineBehaviour(fault = EngineFault.GARBAGE)
 
-            expectThat(events(deployment.send(streamedRequest))).containsExactly("event: error")
+            expectThat(eventLabelsOf(deployment.send(streamedRequest))).containsExactly("event: error")
         }
 
         @Test
-        fun `that stops halfway ends the stream with one numbered error`() {
+        fun `that breaks off its stream ends the answer with one error event`() {
             deployment.engine.behaviour = EngineBehaviour(fault = EngineFault.HALF_ANSWER)
 
-            expectThat(events(deployment.send(streamedRequest))).containsExactly("id: 1", "event: error")
+            expectThat(eventLabelsOf(deployment.send(streamedRequest))).containsExactly("id: 1", "event: error")
         }
 
         @Test
-        fun `that answers half a body is reported`() {
+        fun `that sends half a body causes an ANSWER_MALFORMED error`() {
             deployment.engine.behaviour = EngineBehaviour(fault = EngineFault.HALF_ANSWER)
 
-            expectThat(error(deployment.send(request)))
+            expectThat(errorOf(deployment.send(unaryRequest)))
                 .isEqualTo(ResultCode.ANSWER_MALFORMED.number to Outcome.UNKNOWN)
         }
     }
--- a/router/src/test/kotlin/dev/almondhaven/router/SessionRoutingTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/SessionRoutingTest.kt
@@ -22,48 +22,48 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class SessionRoutingTest {
     private val deployment = TestDeployment().publish()
-    private val models = mutableListOf("slate")
+    private val modelNames = mutableListOf("slate")
 
     @AfterAll
-    fun stop() {
+    fun closeDeployment() {
         deployment.close()
     }
 
     private fun send(
         model: String = "auto",
-        additional: RequestHeadersBuilder.() -> Unit = {},
+        configureHeaders: RequestHeadersBuilder.() -> Unit = {},
     ): AggregatedHttpResponse =
-        deployment.send("""{"model":"$model","messages":[],"max_tokens":1}""", additional = additional)
+        deployment.send("""{"model":"$model","messages":[],"max_tokens":1}""", configureHeaders = configureHeaders)
 
-    private fun sendWith(token: String?): AggregatedHttpResponse = send { add(TOKEN, checkNotNull(token)) }
+    private fun sendWithToken(token: String?): AggregatedHttpResponse = send { add(TOKEN, checkNotNull(token)) }
 
     private val AggregatedHttpResponse.version: String? get() = headers().get("x-almondhaven-model")
     private val AggregatedHttpResponse.token: String? get() = headers().get(TOKEN)
-    private val AggregatedHttpResponse.moved: String? get() = headers().get("x-almondhaven-session-moved")
+    private val AggregatedHttpResponse.sessionMove: String? get() = headers().get("x-almondhaven-session-moved")
 
-    private fun error(response: AggregatedHttpResponse): Pair<Int, Outcome> {
+    private fun errorOf(response: AggregatedHttpResponse): Pair<Int, Outcome> {
         val detail = Json.decodeFromString(ErrorBody.serializer(), response.contentUtf8()).error
         return detail.code to detail.outcome
     }
 
-    /** Adds the first version of a new model, served by the one engine, and returns the model's name. */
+    /** Publishes the first version of a new model, served by the deployment's engine, and returns the model's name. */
     private fun addModel(): String {
-        models += "tagger-${models.size}"
-        val model = models.last()
+        modelNames += "tagger-${modelNames.size}"
+        val model = modelNames.last()
         deployment.publish(
             releaseNote("add-$model") {
                 model(model, "1") { price(input = 2.0, output = 2.0) }
                 engine("engine-$model", "west", deployment.engineAddress, "$model@1")
                 changeOrganisation("roofers") {
                     with(deployment) { roofers() }
-                    models.forEach { allow(it) }
+                    modelNames.forEach { allow(it) }
                 }
             },
         )
         return model
     }
 
-    /** Adds a cheaper second version and withdraws the first if [withdraw]. */
+    /** Publishes a cheaper second version of [model], and withdraws the first one if [withdraw] is set. */
     private fun addSecondVersion(
         model: String,
         withdraw: Boolean = false,
@@ -80,19 +80,19 @@
     @Nested
     inner class `a session` {
         @Test
-        fun `keeps its version with a token, also when a cheaper one has come`() {
+        fun `identified by a token keeps its version after a cheaper one is published`() {
             val model = addModel()
             val first = send(model)
             addSecondVersion(model)
-            val second = sendWith(first.token)
+            val second = sendWithToken(first.token)
 
             expectThat(first.version).isEqualTo("$model@1")
             expectThat(second.version).isEqualTo("$model@1")
-            expectThat(second.moved).isNull()
+            expectThat(second.sessionMove).isNull()
         }
 
         @Test
-        fun `keeps its version with an id alone`() {
+        fun `identified by an id only keeps its version`() {
             val model = addModel()
             send(model) { add(ID, "merchant-7") }
             addSecondVersion(model)
@@ -102,53 +102,55 @@
         }
 
         @Test
-        fun `moves once to the successor when its version is withdrawn`() {
+        fun `moves to the successor once when its version is withdrawn`() {
             val model = addModel()
             val first = send(model)
             addSecondVersion(model, withdraw = true)
-            val second = sendWith(first.token)
-            val third = sendWith(second.token)
+            val second = sendWithToken(first.token)
+            val third = sendWithToken(second.token)
 
             expectThat(second.version).isEqualTo("$model@2")
-            expectThat(second.moved).isEqualTo("$model@1 $model@2")
+            expectThat(second.sessionMove).isEqualTo("$model@1 $model@2")
             expectThat(third.version).isEqualTo("$model@2")
-            expectThat(third.moved).isNull()
+            expectThat(third.sessionMove).isNull()
         }
 
         @Test
-        fun `without a successor is refused as not run`() {
+        fun `whose withdrawn version has no successor is rejected with outcome not_run`() {
             val model = addModel()
             val first = send(model)
             deployment.publish(releaseNote("withdraw-$model") { withdraw(model, "1") })
 
-            expectThat(error(sendWith(first.token)))
+            expectThat(errorOf(sendWithToken(first.token)))
                 .isEqualTo(ResultCode.SESSION_VERSION_WITHDRAWN.number to Outcome.NOT_RUN)
         }
 
         @Test
-        fun `with a forged token is refused as not run`() {
+        fun `with a forged token is rejected with outcome not_run`() {
             val forged = checkNotNull(send().token).replaceAfterLast('.', "AAAA")
 
-            expectThat(error(sendWith(forged))).isEqualTo(ResultCode.SESSION_TOKEN_INVALID.number to Outcome.NOT_RUN)
+            expectThat(
+                errorOf(sendWithToken(forged)),
+            ).isEqualTo(ResultCode.SESSION_TOKEN_INVALID.number to Outcome.NOT_RUN)
         }
 
         @Test
-        fun `for another model than its own is refused as not run`() {
+        fun `is rejected with outcome not_run when the request names another model`() {
             val first = send(addModel())
             val other = send("slate") { add(TOKEN, checkNotNull(first.token)) }
 
-            expectThat(error(other)).isEqualTo(ResultCode.SESSION_MODEL_DIFFERS.number to Outcome.NOT_RUN)
+            expectThat(errorOf(other)).isEqualTo(ResultCode.SESSION_MODEL_DIFFERS.number to Outcome.NOT_RUN)
         }
     }
 
     @Nested
-    inner class `a failure domain taken out` {
+    inner class `a failure domain taken out of service` {
         @Test
-        fun `fails readiness and takes no new work until it returns`() {
+        fun `fails the readiness check and rejects requests until it is returned`() {
             val domain = FailureDomainId("west")
             deployment.publish(ConfigurationEntry.DomainTakenOut(NoteId("out"), "test", domain))
             val readyWhileOut = deployment.get("/health/ready").status()
-            val refused = error(send())
+            val refused = errorOf(send())
             deployment.publish(ConfigurationEntry.DomainReturned(NoteId("back"), "test", domain))
 
             expectThat(readyWhileOut).isEqualTo(HttpStatus.SERVICE_UNAVAILABLE)
--- a/router/src/test/kotlin/dev/almondhaven/router/TestDeployment.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/TestDeployment.kt
@@ -32,22 +32,22 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration.Companion.milliseconds
 
-/** One router before one engine and one service, all in this process, talking real HTTP on loopback. */
+/** A router, a model engine and a plain service in this process, connected by HTTP over loopback. */
 internal class TestDeployment(
     behaviour: EngineBehaviour = EngineBehaviour(),
-    moreEngines: Int = 0,
+    extraEngineCount: Int = 0,
     endpointSettings: EndpointSettings = EndpointSettings(),
     peerSettings: PeerSettings? = null,
-    platformOf: (ObjectStore) -> ObjectStore = { it },
+    wrapObjects: (ObjectStore) -> ObjectStore = { it },
 ) : AutoCloseable {
     val objects = InMemoryObjectStore()
     val engine = EngineStandIn(behaviour)
     val service = ServiceStandIn()
 
-    /** `ip:port` of the engine. */
+    /** Address of the engine, as `ip:port`. */
     val engineAddress: String get() = engineServer.hostAndPort
-    val moreEngines = List(moreEngines) { EngineStandIn(behaviour) }
-    private val moreEngineServers = this.moreEngines.map { more -> StandInServer.start { more.addTo(it) } }
+    val extraEngines = List(extraEngineCount) { EngineStandIn(behaviour) }
+    private val extraEngineServers = extraEngines.map { extra -> StandInServer.start { extra.addTo(it) } }
     private val engineServer = StandInServer.start { engine.addTo(it) }
     private val serviceServer = StandInServer.start { service.addTo(it) }
     private val settings =
@@ -59,23 +59,23 @@
             drain = DrainSettings(balancerDelay = 200.milliseconds),
             peers = peerSettings,
         )
-    val router = Router.start(settings, platformOf(objects))
+    val router = Router.start(settings, wrapObjects(objects))
     val client: WebClient = WebClient.of("http://127.0.0.1:${router.port}")
 
-    /** Publishes the note and waits until it is in force. */
+    /** Publishes [note] and waits until the router has applied it. */
     fun publish(note: ReleaseNote = firstNote()): TestDeployment = publish(ConfigurationEntry.NotePublished(note))
 
-    /** Publishes the entry and waits until it is in force. */
+    /** Publishes [entry] and waits until the router has applied it. */
     fun publish(entry: ConfigurationEntry): TestDeployment {
         val publisher = Publisher("test", acceptedAt = 0, from = "test")
         val accepted = ConfigurationStore(objects).publish(entry, publisher)
         val generation = accepted.fold({ error("not accepted: $it") }, { it.generation })
         val expected = "almondhaven_configuration_generation ${generation.value.toDouble()}"
-        repeat(PATIENCE_STEPS) {
+        repeat(MAX_POLLS) {
             if (expected in get("/metrics").contentUtf8()) return this
-            TimeUnit.MILLISECONDS.sleep(STEP_MILLIS)
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS)
         }
-        error("generation $generation did not come in force")
+        error("the router did not apply generation $generation in time")
     }
 
     fun get(path: String): AggregatedHttpResponse = client.get(path).aggregate().join()
@@ -93,13 +93,13 @@
             }
             service("orders") { call("GET", "/stock", idempotent = true) }
             engine("engine", "west", engineServer.hostAndPort, "slate@1")
-            moreEngineServers.forEachIndexed { number, server ->
+            extraEngineServers.forEachIndexed { number, server ->
                 engine("engine$number", "west", server.hostAndPort, "slate@1")
             }
             serviceEndpoint("service", "west", serviceServer.hostAndPort, "orders")
         }
 
-    /** What the organisation `roofers` has in every note, its models aside. */
+    /** Configures the organisation `roofers` with everything but its models. */
     fun OrganisationBuilder.roofers() {
         tokenDigest(digest(TOKEN))
         quality(0.8)
@@ -111,23 +111,23 @@
         path: String = "/v1/chat/completions",
         method: HttpMethod = HttpMethod.POST,
         token: String = TOKEN,
-        additional: RequestHeadersBuilder.() -> Unit = {},
-    ): AggregatedHttpResponse = sendStreaming(body, path, method, token, additional).aggregate().join()
+        configureHeaders: RequestHeadersBuilder.() -> Unit = {},
+    ): AggregatedHttpResponse = sendStreaming(body, path, method, token, configureHeaders).aggregate().join()
 
-    /** Sends without waiting for the end of the answer. */
+    /** Sends a request and returns its response without waiting for the body. */
     fun sendStreaming(
         body: String,
         path: String = "/v1/chat/completions",
         method: HttpMethod = HttpMethod.POST,
         token: String = TOKEN,
-        additional: RequestHeadersBuilder.() -> Unit = {},
+        configureHeaders: RequestHeadersBuilder.() -> Unit = {},
     ): HttpResponse {
         val headers =
             RequestHeaders
                 .builder(method, path)
                 .contentType(MediaType.JSON)
                 .set("authorization", "Bearer $token")
-                .apply(additional)
+                .apply(configureHeaders)
                 .build()
         return client.execute(headers, body)
     }
@@ -135,14 +135,14 @@
     override fun close() {
         router.close()
         engineServer.close()
-        moreEngineServers.forEach { it.close() }
+        extraEngineServers.forEach { it.close() }
         serviceServer.close()
     }
 
     companion object {
         const val TOKEN = "secret-token"
-        private const val PATIENCE_STEPS = 1_000
-        private const val STEP_MILLIS = 10L
+        private const val MAX_POLLS = 1_000
+        private const val POLL_INTERVAL_MILLIS = 10L
 
         fun digest(token: String): String = Hashing.sha256().hashString(token, Charsets.UTF_8).toString()
     }
--- a/router/src/test/kotlin/dev/almondhaven/router/billing/BillingHandOverTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/billing/BillingHandOverTest.kt
@@ -76,7 +76,7 @@
     inner class `a router that stops while the platform takes no bills` {
         @Test
         fun `makes a peer answerable for them, which stores them at its own stop at the latest`() {
-            val deployment = TestDeployment(peerSettings = peers(), platformOf = ::WithoutBilling).publish()
+            val deployment = TestDeployment(peerSettings = peers(), wrapObjects = ::WithoutBilling).publish()
             val neighbour = neighbour(deployment)
             awaitTwoMembers(deployment)
             repeat(3) { deployment.send(request) }
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/PlatformOutageTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/PlatformOutageTest.kt
@@ -30,7 +30,7 @@
 class PlatformOutageTest {
     private lateinit var platform: FaultyObjectStore
     private val deployment =
-        TestDeployment(platformOf = { FaultyObjectStore(it, seed = 1).also { faulty -> platform = faulty } })
+        TestDeployment(wrapObjects = { FaultyObjectStore(it, seed = 1).also { faulty -> platform = faulty } })
             .also { it.publish(noteWithOrders(it)) }
 
     @AfterEach
