--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
@@ -22,9 +22,12 @@
 import java.util.concurrent.CompletableFuture
 import kotlin.time.Duration
 
-/** Claims non-idempotent calls before they go on, so that each key is dispatched at most once over the whole fleet. */
+/**
+ * Claims the idempotency key of each non-idempotent call before the call proceeds, so that the whole fleet dispatches
+ * each key at most once.
+ */
 internal class ClaimFilter(
-    private val peers: ClaimPeerProtocol,
+    private val peerProtocol: ClaimPeerProtocol,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
     private val wallMillis: () -> Long,
@@ -36,29 +39,38 @@
     ): CompletableFuture<Answer> {
         val call = exchange.call as? Call.Service
         if (call == null || call.idempotent) return next.handle(exchange)
-        return place(exchange, call).fold(
+        return createPlacedRequest(exchange, call).fold(
             { Answer.Refused(it).completed() },
             { (shard, request) ->
-                ClaimedCallExecution(shard, request, dispatchBy(exchange), exchange, next, peers, ledger, clock).start()
+                ClaimedCallExecution(
+                    shard,
+                    request,
+                    dispatchDeadline(exchange),
+                    exchange,
+                    next,
+                    peerProtocol,
+                    ledger,
+                    clock,
+                ).start()
             },
         )
     }
 
-    private fun dispatchBy(exchange: Exchange): Long =
+    private fun dispatchDeadline(exchange: Exchange): Long =
         minOf(exchange.deadline, exchange.arrivedAt + dispatchBound.inWholeNanoseconds)
 
-    private fun place(
+    private fun createPlacedRequest(
         exchange: Exchange,
         call: Call.Service,
     ): Either<Refusal, PlacedRequest> {
-        val text = exchange.headers.get(IDEMPOTENCY_KEY).orEmpty()
-        if (text.length !in KEY_LENGTH) {
-            return Refusal.notRun(ResultCode.CLAIM_KEY_MISSING, "got ${text.length} characters").left()
+        val keyText = exchange.headers.get(IDEMPOTENCY_KEY).orEmpty()
+        if (keyText.length !in KEY_LENGTH_CHARS) {
+            return Refusal.notRun(ResultCode.CLAIM_KEY_MISSING, "got ${keyText.length} characters").left()
         }
-        val key = ClaimKey(exchange.organisation.id, call.service, text)
+        val key = ClaimKey(exchange.organisation.id, call.service, keyText)
         return when (val placement = ClaimPlacement.of(key, wallMillis())) {
             is ClaimPlacement.In -> {
-                PlacedRequest(placement.shard, request(exchange, call, key)).right()
+                PlacedRequest(placement.shard, createRequest(exchange, call, key)).right()
             }
 
             ClaimPlacement.Expired -> {
@@ -74,14 +86,14 @@
         }
     }
 
-    private fun request(
+    private fun createRequest(
         exchange: Exchange,
         call: Call.Service,
         key: ClaimKey,
     ): ClaimRequest {
-        val line = "${exchange.method} ${call.path}\n".toByteArray()
-        val body = Digest.of(line + exchange.body.array())
-        return ClaimRequest(key.digest, body, wallMillis(), exchange.journal.firstUseProven)
+        val requestLine = "${exchange.method} ${call.path}\n".toByteArray()
+        val requestDigest = Digest.of(requestLine + exchange.body.array())
+        return ClaimRequest(key.digest, requestDigest, wallMillis(), exchange.journal.firstUseProven)
     }
 
     private data class PlacedRequest(
@@ -91,6 +103,6 @@
 
     private companion object {
         const val IDEMPOTENCY_KEY = "idempotency-key"
-        val KEY_LENGTH = 1..255
+        val KEY_LENGTH_CHARS = 1..255
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimModule.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimModule.kt
@@ -8,7 +8,7 @@
 import dev.almondhaven.router.settings.ClaimSettings
 import dev.almondhaven.store.ObjectStore
 
-/** The parts of one router that deal with claims, put together. */
+/** Builds and owns the components of a router that handle claims. */
 internal class ClaimModule(
     settings: ClaimSettings,
     objects: ObjectStore,
@@ -16,21 +16,21 @@
     network: PeerNetwork,
     wallMillis: () -> Long = System::currentTimeMillis,
 ) : AutoCloseable {
-    private val limits = ShardWriterLimits(writeInterval = settings.writeInterval)
-    private val writers = ClaimWriterPool(objects, limits, clock, wallMillis)
+    private val writerLimits = ShardWriterLimits(writeInterval = settings.writeInterval)
+    private val writerPool = ClaimWriterPool(objects, writerLimits, clock, wallMillis)
     private val ledger = AttemptLedger(network.self.id)
-    private val peers =
-        ClaimPeerProtocol({ network.view }, network.transport, writers, ledger, clock, settings.relayTimeout)
+    private val peerProtocol =
+        ClaimPeerProtocol({ network.view }, network.transport, writerPool, ledger, clock, settings.relayTimeout)
             .also { it.register(network.handlers) }
 
-    /** Claims non-idempotent calls; stands behind admission and before the choice of an endpoint. */
-    val filter: RequestFilter = ClaimFilter(peers, ledger, clock, wallMillis, settings.dispatchBound)
+    /** Claims non-idempotent calls; belongs after admission and before endpoint selection in the filter chain. */
+    val filter: RequestFilter = ClaimFilter(peerProtocol, ledger, clock, wallMillis, settings.dispatchBound)
 
     private val sweeper = ClaimSweeper(objects, network::view, wallMillis)
 
-    /** Settles what still waits, and stops. */
+    /** Stops the sweeper, settles queued operations and stops the writers. */
     override fun close() {
         sweeper.close()
-        writers.close()
+        writerPool.close()
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration
 
-/** Asks an attempt's holder for its status. */
+/** Asks the holder of an attempt for the status of that attempt. */
 @Serializable
 internal data class AttemptStatusRequest(
     val attempt: Attempt,
@@ -34,7 +34,11 @@
     val status: AttemptStatus,
 )
 
-/** Asks a shard's owner to settle an operation. */
+/**
+ * Asks the owner of a shard to settle an operation.
+ *
+ * @property number identifies the operation in the [RelayedVerdict] that the owner sends to [from].
+ */
 @Serializable
 internal data class RelayedOperation(
     val number: Long,
@@ -43,13 +47,13 @@
     val operation: ClaimOperation,
 )
 
-/** Says that a message was taken; what comes of it is sent on its own. */
+/** Acknowledges a message; the verdict follows in a message of its own. */
 @Serializable
 internal data class RelayAcknowledgement(
     val accepted: Boolean = true,
 )
 
-/** What came of the [RelayedOperation] with the same [number]. */
+/** The verdict on the [RelayedOperation] with the same [number]. */
 @Serializable
 internal data class RelayedVerdict(
     val number: Long,
@@ -57,40 +61,41 @@
 )
 
 /**
- * The routers' part in claims. A shard's owner only saves writes: whoever can't reach it writes by itself, and owner
- * and router may both write the same operation, since applying it twice has the effect of applying it once.
+ * Exchanges claim operations and attempt statuses with other routers. Each shard has an owner, which batches the
+ * operations of all routers into fewer writes. The owner is not needed for correctness: a router that can't reach it
+ * writes the shard itself, and both may write the same operation, since applying an operation is idempotent.
  */
 internal class ClaimPeerProtocol(
     private val view: () -> FleetView,
     private val transport: PeerTransport,
-    private val writers: ClaimWriterPool,
+    private val writerPool: ClaimWriterPool,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
     private val relayTimeout: Duration,
 ) {
-    private val relayed = ConcurrentHashMap<Long, CompletableFuture<ClaimVerdict>>()
+    private val pendingVerdicts = ConcurrentHashMap<Long, CompletableFuture<ClaimVerdict>>()
     private val relayNumbers = AtomicLong()
 
-    /** Takes the messages of the other routers. */
+    /** Registers the handlers for messages from other routers. */
     fun register(handlers: PeerHandlers) {
-        handlers.register(ASK_PATH, ::answerQuestion)
-        handlers.register(RELAY_PATH, ::settleRelayed)
-        handlers.register(VERDICT_PATH, ::takeVerdict)
+        handlers.register(STATUS_PATH, ::handleStatusRequest)
+        handlers.register(RELAY_PATH, ::handleRelayedOperation)
+        handlers.register(VERDICT_PATH, ::handleVerdict)
     }
 
-    /** Settles [operation] by way of the shard's owner, or directly. */
+    /** Settles [operation] through the owner of [shard], or directly if the owner doesn't return a verdict in time. */
     fun settle(
         shard: ClaimShard,
         operation: ClaimOperation,
     ): CompletableFuture<ClaimVerdict> {
         val owner = RendezvousHash.choose(shard.value, view().members, 1) { it.id.value }.firstOrNull()
-        if (owner == null || owner.id == view().self.id) return writers.submit(shard, operation)
+        if (owner == null || owner.id == view().self.id) return writerPool.submit(shard, operation)
         return relay(owner, shard, operation).thenCompose { verdict ->
-            verdict?.let { CompletableFuture.completedFuture(it) } ?: writers.submit(shard, operation)
+            verdict?.let { CompletableFuture.completedFuture(it) } ?: writerPool.submit(shard, operation)
         }
     }
 
-    /** The verdict that [owner] sends back, or null if it doesn't come in time. */
+    /** Returns the verdict that [owner] sends back, or null if none arrives within the relay timeout. */
     private fun relay(
         owner: Member,
         shard: ClaimShard,
@@ -98,76 +103,76 @@
     ): CompletableFuture<ClaimVerdict?> {
         val number = relayNumbers.incrementAndGet()
         val verdict = CompletableFuture<ClaimVerdict>()
-        relayed[number] = verdict
+        pendingVerdicts[number] = verdict
         val message = RelayedOperation(number, view().self, shard, operation)
         post(owner, RELAY_PATH, message, RelayedOperation.serializer(), RelayAcknowledgement.serializer())
-            .thenAccept { accepted -> if (accepted == null) verdict.cancel(false) }
+            .thenAccept { acknowledgement -> if (acknowledgement == null) verdict.cancel(false) }
         return verdict
             .orTimeout(relayTimeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
-            .handle { result, _ -> result.also { relayed.remove(number) } }
+            .handle { result, _ -> result.also { pendingVerdicts.remove(number) } }
     }
 
-    /** The status of [attempt] by its holder; null if the holder can't be reached. */
-    fun ask(attempt: Attempt): CompletableFuture<AttemptStatus?> {
+    /** Requests the status of [attempt] from its holder; null if the holder can't be reached. */
+    fun requestStatus(attempt: Attempt): CompletableFuture<AttemptStatus?> {
         if (attempt.holder == view().self.id) {
             return CompletableFuture.completedFuture(ledger.ask(attempt, clock.nanos()))
         }
-        val holder = memberOrNull(attempt) ?: return CompletableFuture.completedFuture(null)
+        val holder = holderOrNull(attempt) ?: return CompletableFuture.completedFuture(null)
         val message = AttemptStatusRequest(attempt)
-        return post(holder, ASK_PATH, message, AttemptStatusRequest.serializer(), AttemptStatusResponse.serializer())
+        return post(holder, STATUS_PATH, message, AttemptStatusRequest.serializer(), AttemptStatusResponse.serializer())
             .thenApply { it?.status }
     }
 
-    /** Whether the holder of [attempt] is held to be alive. */
-    fun holderLives(attempt: Attempt): Boolean = memberOrNull(attempt) != null
+    /** Whether the holder of [attempt] is a live member of the fleet. */
+    fun isHolderAlive(attempt: Attempt): Boolean = holderOrNull(attempt) != null
 
-    private fun memberOrNull(attempt: Attempt): Member? = view().members.firstOrNull { it.id == attempt.holder }
+    private fun holderOrNull(attempt: Attempt): Member? = view().members.firstOrNull { it.id == attempt.holder }
 
-    private fun <Q, A : Any> post(
+    private fun <Q, R : Any> post(
         to: Member,
         path: String,
         message: Q,
-        questions: KSerializer<Q>,
-        answers: KSerializer<A>,
-    ): CompletableFuture<A?> =
+        requestSerializer: KSerializer<Q>,
+        responseSerializer: KSerializer<R>,
+    ): CompletableFuture<R?> =
         transport
-            .post(to, path, json.encodeToString(questions, message))
+            .post(to, path, json.encodeToString(requestSerializer, message))
             .orTimeout(relayTimeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
-            .handle { result, _ -> (result as? Either.Right)?.let { decodeOrNull(answers, it.value) } }
+            .handle { result, _ -> (result as? Either.Right)?.let { decodeOrNull(responseSerializer, it.value) } }
 
-    private fun <A : Any> decodeOrNull(
-        answers: KSerializer<A>,
+    private fun <R : Any> decodeOrNull(
+        serializer: KSerializer<R>,
         text: String,
-    ): A? = runCatching { json.decodeFromString(answers, text) }.getOrNull()
+    ): R? = runCatching { json.decodeFromString(serializer, text) }.getOrNull()
 
-    private fun answerQuestion(body: String): String {
-        val question = json.decodeFromString(AttemptStatusRequest.serializer(), body)
+    private fun handleStatusRequest(body: String): String {
+        val request = json.decodeFromString(AttemptStatusRequest.serializer(), body)
         return json.encodeToString(
             AttemptStatusResponse.serializer(),
-            AttemptStatusResponse(ledger.ask(question.attempt, clock.nanos())),
+            AttemptStatusResponse(ledger.ask(request.attempt, clock.nanos())),
         )
     }
 
-    private fun settleRelayed(body: String): String {
+    private fun handleRelayedOperation(body: String): String {
         val message = json.decodeFromString(RelayedOperation.serializer(), body)
-        writers.submit(message.shard, message.operation).thenAccept { verdict ->
-            val answer = RelayedVerdict(message.number, verdict)
-            post(message.from, VERDICT_PATH, answer, RelayedVerdict.serializer(), RelayAcknowledgement.serializer())
+        writerPool.submit(message.shard, message.operation).thenAccept { verdict ->
+            val reply = RelayedVerdict(message.number, verdict)
+            post(message.from, VERDICT_PATH, reply, RelayedVerdict.serializer(), RelayAcknowledgement.serializer())
         }
-        return ACCEPTED
+        return ACKNOWLEDGEMENT
     }
 
-    private fun takeVerdict(body: String): String {
+    private fun handleVerdict(body: String): String {
         val message = json.decodeFromString(RelayedVerdict.serializer(), body)
-        relayed.remove(message.number)?.complete(message.verdict)
-        return ACCEPTED
+        pendingVerdicts.remove(message.number)?.complete(message.verdict)
+        return ACKNOWLEDGEMENT
     }
 
     private companion object {
-        const val ASK_PATH = "claims/ask"
+        const val STATUS_PATH = "claims/ask"
         const val RELAY_PATH = "claims/relay"
         const val VERDICT_PATH = "claims/verdict"
         val json = PeerProtocol.json
-        val ACCEPTED = json.encodeToString(RelayAcknowledgement.serializer(), RelayAcknowledgement())
+        val ACKNOWLEDGEMENT = json.encodeToString(RelayAcknowledgement.serializer(), RelayAcknowledgement())
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
@@ -13,31 +13,31 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Deletes the dated shards from before the retention window. Each minute falls to another router, so that the reading
- * is spread; two that sweep at once do no harm.
+ * Deletes dated shards that are older than the retention window. Rendezvous hashing assigns each minute to one router,
+ * which spreads the listing load over the fleet. Two routers that sweep at the same time do no harm.
  */
 internal class ClaimSweeper(
     private val objects: ObjectStore,
     private val view: () -> FleetView,
     private val wallMillis: () -> Long,
 ) : AutoCloseable {
-    private val duty = DutyThread.start<Unit>("claims-sweep", RING, INTERVAL, ::sweepIfMine) { }
+    private val duty = DutyThread.start<Unit>("claims-sweep", MAILBOX_CAPACITY, INTERVAL, ::sweepIfAssigned) { }
 
-    private fun sweepIfMine() {
+    private fun sweepIfAssigned() {
         val minute = wallMillis() / INTERVAL.inWholeMilliseconds
         val chosen = RendezvousHash.choose("claims/sweep/$minute", view().members, 1) { it.id.value }
         if (chosen.firstOrNull()?.id == view().self.id) sweep()
     }
 
-    /** Deletes the oldest shards as long as they are due; returns how many. */
+    /** Deletes expired shards, oldest first, up to [MAX_DELETIONS]; returns how many were deleted. */
     fun sweep(): Int {
         var deleted = 0
-        while (deleted < MOST_DELETIONS) {
-            val page = objects.list(ClaimPlacement.DATED_PREFIX, limit = PAGE).getOrNull() ?: break
-            val due = page.objects.filter { ClaimPlacement.deletable(ClaimShard(it.key.value), wallMillis()) }
-            val done = due.count { objects.delete(it.key, it.version).isRight() }
-            deleted += done
-            if (done < PAGE) break
+        while (deleted < MAX_DELETIONS) {
+            val page = objects.list(ClaimPlacement.DATED_PREFIX, limit = PAGE_SIZE).getOrNull() ?: break
+            val expired = page.objects.filter { ClaimPlacement.deletable(ClaimShard(it.key.value), wallMillis()) }
+            val deletedOfPage = expired.count { objects.delete(it.key, it.version).isRight() }
+            deleted += deletedOfPage
+            if (deletedOfPage < PAGE_SIZE) break
         }
         if (deleted > 0) LogEvent.CLAIM_SHARDS_DELETED.log(logger) { "shards=$deleted" }
         return deleted
@@ -46,9 +46,9 @@
     override fun close(): Unit = duty.stop()
 
     private companion object {
-        const val RING = 2
-        const val PAGE = 20
-        const val MOST_DELETIONS = 400
+        const val MAILBOX_CAPACITY = 2
+        const val PAGE_SIZE = 20
+        const val MAX_DELETIONS = 400
         val INTERVAL = 1.minutes
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
@@ -26,45 +26,50 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Thrown into the future of an operation that was not taken because too many wait; it has no effect. */
-internal class ClaimOperationDropped : RuntimeException("too many claim operations wait")
+/** Completes the future of an operation that was rejected because a queue was full; the operation has no effect. */
+internal class ClaimOperationDropped : RuntimeException("too many claim operations are queued")
 
-/** Settles operations on claims with the platform, each shard on one of a few duty threads. */
+/**
+ * Writes claim operations to the platform on a fixed number of threads. Each shard is assigned to one thread, so the
+ * operations on a shard need no locks.
+ */
 internal class ClaimWriterPool(
     private val objects: ObjectStore,
     private val limits: ShardWriterLimits,
     private val clock: NanoClock,
     private val wallMillis: () -> Long,
 ) : AutoCloseable {
-    private val unsettled = AtomicInteger()
-    private val lanes = List(LANES) { Lane(it) }
+    private val unsettledCount = AtomicInteger()
+    private val workers = List(WORKER_COUNT) { Worker(it) }
 
     @Volatile
     private var closing = false
 
-    /** Settles [operation] on [shard]; the future may end on any thread. */
+    /** Settles [operation] on [shard]; the future may complete on any thread. */
     fun submit(
         shard: ClaimShard,
         operation: ClaimOperation,
     ): CompletableFuture<ClaimVerdict> {
         val submission = Submission(shard, operation, CompletableFuture())
-        unsettled.incrementAndGet()
-        submission.verdict.whenComplete { _, _ -> unsettled.decrementAndGet() }
-        if (!lanes[shard.hashCode().mod(LANES)].duty.offer(submission)) drop(submission)
+        unsettledCount.incrementAndGet()
+        submission.verdict.whenComplete { _, _ -> unsettledCount.decrementAndGet() }
+        if (!workers[shard.hashCode().mod(WORKER_COUNT)].duty.offer(submission)) reject(submission)
         return submission.verdict
     }
 
-    private fun drop(submission: Submission) {
+    private fun reject(submission: Submission) {
         LogEvent.CLAIM_OPERATION_DROPPED.log(logger) { "shard=${submission.shard}" }
         submission.verdict.completeExceptionally(ClaimOperationDropped())
     }
 
-    /** Settles what waits, as far as the platform answers within a few seconds. */
+    /** Waits up to [CLOSE_TIMEOUT] for the platform to settle the queued operations, and stops the threads. */
     override fun close() {
         closing = true
-        val end = clock.nanos() + CLOSE_PATIENCE.inWholeNanoseconds
-        while (unsettled.get() > 0 && clock.nanos() - end < 0) TimeUnit.MILLISECONDS.sleep(TICK.inWholeMilliseconds)
-        lanes.forEach { it.duty.stop() }
+        val closeDeadline = clock.nanos() + CLOSE_TIMEOUT.inWholeNanoseconds
+        while (unsettledCount.get() > 0 && clock.nanos() - closeDeadline < 0) {
+            TimeUnit.MILLISECONDS.sleep(TICK_INTERVAL.inWholeMilliseconds)
+        }
+        workers.forEach { it.duty.stop() }
     }
 
     private class Submission(
@@ -73,23 +78,24 @@
         val verdict: CompletableFuture<ClaimVerdict>,
     )
 
-    private inner class Lane(
+    private inner class Worker(
         index: Int,
     ) {
         private val shards = HashMap<ClaimShard, ActiveShard>()
-        val duty: DutyThread<Submission> = DutyThread.start("claims-$index", RING, TICK, ::pumpAll, ::take)
+        val duty: DutyThread<Submission> =
+            DutyThread.start("claims-$index", MAILBOX_CAPACITY, TICK_INTERVAL, ::advanceAll, ::accept)
 
-        private fun take(submission: Submission) {
+        private fun accept(submission: Submission) {
             val shard = shards.getOrPut(submission.shard) { ActiveShard(submission.shard) }
-            if (!shard.writer.submit(submission.operation, submission.verdict, clock.nanos())) drop(submission)
-            shard.usedAt = clock.nanos()
-            // More may wait on the ring that can share the next write.
-            if (duty.waiting == 0) pumpAll()
+            if (!shard.writer.submit(submission.operation, submission.verdict, clock.nanos())) reject(submission)
+            shard.lastUsedAt = clock.nanos()
+            // Operations that are still queued may share the next write.
+            if (duty.waiting == 0) advanceAll()
         }
 
-        private fun pumpAll() {
-            shards.values.forEach { it.pump() }
-            shards.values.removeIf { it.writer.pending == 0 && clock.elapsed(it.usedAt) > IDLE_SHARD }
+        private fun advanceAll() {
+            shards.values.forEach { it.advance() }
+            shards.values.removeIf { it.writer.pending == 0 && clock.elapsed(it.lastUsedAt) > SHARD_IDLE_TIMEOUT }
         }
     }
 
@@ -98,14 +104,14 @@
     ) {
         val writer =
             ShardWriter<CompletableFuture<ClaimVerdict>>(limits, RandomSource.XO_RO_SHI_RO_128_PP.create())
-        var usedAt = clock.nanos()
-        private var loggedAt: Long? = null
+        var lastUsedAt = clock.nanos()
+        private var lastLoggedAt: Long? = null
         private val key = ObjectKey(shard.value)
 
-        fun pump() {
-            var goesOn = true
-            while (goesOn) {
-                goesOn =
+        fun advance() {
+            var hasMore = true
+            while (hasMore) {
+                hasMore =
                     when (val step = writer.next(clock.nanos(), wallMillis(), closing)) {
                         ShardStep.Idle, is ShardStep.Wait -> false
                         ShardStep.Read -> read()
@@ -117,7 +123,7 @@
 
         private fun read(): Boolean =
             objects.get(key).fold(
-                { failed(it) },
+                { onError(it) },
                 {
                     writer.onRead(it?.value, it?.version?.let { version -> ShardVersion(version.value) })
                     true
@@ -129,20 +135,20 @@
                 step.expected?.let { WriteCondition.AtVersion(ObjectVersion(it.value)) } ?: WriteCondition.Absent
             when (val result = objects.put(key, step.text, condition)) {
                 is Either.Right -> writer.onWritten(ShardVersion(result.value.value), clock.nanos())
-                is Either.Left -> failed(result.value)
+                is Either.Left -> onError(result.value)
             }
             return false
         }
 
-        /** Logs the first failure and then one an interval, since an outage repeats it many times a second. */
-        private fun logUnsettled(error: PlatformError) {
-            val last = loggedAt
+        /** Logs at most one failure per [LOG_INTERVAL], since an outage causes many failures a second. */
+        private fun logRateLimited(error: PlatformError) {
+            val last = lastLoggedAt
             if (last != null && clock.elapsed(last) < LOG_INTERVAL) return
-            loggedAt = clock.nanos()
+            lastLoggedAt = clock.nanos()
             LogEvent.CLAIM_WRITE_UNSETTLED.log(logger) { "shard=$key error=$error" }
         }
 
-        private fun failed(error: PlatformError): Boolean {
+        private fun onError(error: PlatformError): Boolean {
             when (error) {
                 PlatformError.ConditionFailed -> {
                     writer.onConflict(clock.nanos())
@@ -153,7 +159,7 @@
                 }
 
                 else -> {
-                    logUnsettled(error)
+                    logRateLimited(error)
                     writer.onFailure(clock.nanos())
                 }
             }
@@ -163,10 +169,10 @@
 
     private companion object {
         val LOG_INTERVAL = 10.seconds
-        const val LANES = 4
-        const val RING = 4_096
-        val TICK = 20.milliseconds
-        val CLOSE_PATIENCE = 3.seconds
-        val IDLE_SHARD = 20.seconds
+        const val WORKER_COUNT = 4
+        const val MAILBOX_CAPACITY = 4_096
+        val TICK_INTERVAL = 20.milliseconds
+        val CLOSE_TIMEOUT = 3.seconds
+        val SHARD_IDLE_TIMEOUT = 20.seconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
@@ -28,32 +28,32 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Carries out what a [ClaimProcess] decides, on the exchange's event loop. */
+/** Executes the actions that a [ClaimProcess] decides on for one call, on the event loop of the exchange. */
 internal class ClaimedCallExecution(
     private val shard: ClaimShard,
     request: ClaimRequest,
-    dispatchBy: Long,
+    dispatchDeadline: Long,
     private val exchange: Exchange,
     private val next: RequestHandler,
-    private val peers: ClaimPeerProtocol,
+    private val peerProtocol: ClaimPeerProtocol,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
 ) : DispatchGate {
-    private val attempt = ledger.open(dispatchBy)
+    private val attempt = ledger.open(dispatchDeadline)
     private val process = ClaimProcess(request, attempt, ledger)
     private val answer = CompletableFuture<Answer>()
-    private var dispatching = false
+    private var dispatchStarted = false
 
-    // A dispatched call counts as running until its own end, also when its caller has left.
-    private val releaseJournal = exchange.journal.hold()
+    // A dispatched call counts as running until it ends, even if its caller has disconnected.
+    private val releaseJournalHold = exchange.journal.hold()
 
-    /** The answer, at the exchange's deadline at the latest. */
+    /** Starts the call; the answer is completed by the deadline of the exchange at the latest. */
     fun start(): CompletableFuture<Answer> {
         val remaining = (exchange.deadline - clock.nanos()).coerceAtLeast(0)
         val timer = exchange.eventLoop.schedule({ run(process.onDeadline()) }, remaining, TimeUnit.NANOSECONDS)
         answer.whenComplete { _, _ ->
             timer.cancel(false)
-            if (!dispatching) releaseJournal()
+            if (!dispatchStarted) releaseJournalHold()
         }
         run(process.start())
         return answer
@@ -68,35 +68,35 @@
     private fun run(action: ClaimAction) {
         when (action) {
             is ClaimAction.Submit -> submit(action)
-            is ClaimAction.Record -> peers.settle(shard, action.operation)
+            is ClaimAction.Record -> peerProtocol.settle(shard, action.operation)
             ClaimAction.Dispatch -> dispatch()
-            is ClaimAction.Ask -> if (action.later) later { ask(action) } else ask(action)
-            ClaimAction.Pause -> later { run(process.onPauseEnded()) }
-            ClaimAction.Deliver, is ClaimAction.Fail -> error("only at the end of a dispatch: $action")
+            is ClaimAction.Ask -> if (action.later) runLater { requestStatus(action) } else requestStatus(action)
+            ClaimAction.Pause -> runLater { run(process.onPauseEnded()) }
+            ClaimAction.Deliver, is ClaimAction.Fail -> error("action is only valid at the end of a dispatch: $action")
             is ClaimAction.Replay -> replay(action.answer)
             is ClaimAction.Refuse -> refuse(action)
         }
     }
 
     private fun submit(action: ClaimAction.Submit) {
-        peers.settle(shard, action.operation).whenCompleteAsync(
+        peerProtocol.settle(shard, action.operation).whenCompleteAsync(
             { verdict, failure -> run(if (failure == null) process.onVerdict(verdict) else process.onDropped()) },
             exchange.eventLoop,
         )
     }
 
-    private fun ask(action: ClaimAction.Ask) {
-        peers.ask(action.attempt).whenCompleteAsync(
-            { status, _ -> run(process.onStatus(action.attempt, status, peers.holderLives(action.attempt))) },
+    private fun requestStatus(action: ClaimAction.Ask) {
+        peerProtocol.requestStatus(action.attempt).whenCompleteAsync(
+            { status, _ -> run(process.onStatus(action.attempt, status, peerProtocol.isHolderAlive(action.attempt))) },
             exchange.eventLoop,
         )
     }
 
     private fun dispatch() {
         exchange.journal.recordFirstUse()
-        dispatching = true
+        dispatchStarted = true
         next.handle(exchange.with(this)).whenCompleteAsync(
-            { result, failure -> ended(result ?: internalError(failure)) },
+            { result, failure -> onDispatchEnded(result ?: internalError(failure)) },
             exchange.eventLoop,
         )
     }
@@ -106,9 +106,9 @@
         return Answer.Refused(Refusal(ResultCode.INTERNAL_ERROR, "unexpected error", Outcome.UNKNOWN))
     }
 
-    private fun ended(result: Answer) {
+    private fun onDispatchEnded(result: Answer) {
         val refusal = (result as? Answer.Refused)?.refusal
-        val end = if (refusal == null) DispatchEnd.Answered(kept(result)) else DispatchEnd.Failed
+        val end = if (refusal == null) DispatchEnd.Answered(toRecordedAnswer(result)) else DispatchEnd.Failed
         process.onDispatchEnded(end).forEach { action ->
             when {
                 action == ClaimAction.Deliver -> answer.complete(result)
@@ -116,36 +116,37 @@
                 else -> run(action)
             }
         }
-        releaseJournal()
+        releaseJournalHold()
     }
 
     private fun fail(
         refusal: Refusal,
         outcome: Outcome,
     ) {
-        logUnknown(refusal.code, outcome)
+        logIfUnknown(refusal.code, outcome)
         answer.complete(Answer.Refused(refusal.copy(outcome = outcome)))
     }
 
-    private fun kept(result: Answer): RecordedAnswer? {
-        val whole = (result as? Answer.Whole)?.takeIf { it.body.length() <= KEPT_ANSWER_BYTES } ?: return null
-        val body = Base64.getEncoder().encodeToString(whole.body.array())
-        return RecordedAnswer(whole.status.code(), whole.contentType.toString(), body)
+    private fun toRecordedAnswer(result: Answer): RecordedAnswer? {
+        val complete =
+            (result as? Answer.Whole)?.takeIf { it.body.length() <= MAX_RECORDED_ANSWER_BYTES } ?: return null
+        val body = Base64.getEncoder().encodeToString(complete.body.array())
+        return RecordedAnswer(complete.status.code(), complete.contentType.toString(), body)
     }
 
-    private fun replay(kept: RecordedAnswer) {
+    private fun replay(recorded: RecordedAnswer) {
         exchange.journal.addAnswerHeader("x-almondhaven-replayed", "true")
-        val body = HttpData.wrap(Base64.getDecoder().decode(kept.body))
-        answer.complete(Answer.Whole(HttpStatus.valueOf(kept.status), MediaType.parse(kept.contentType), body))
+        val body = HttpData.wrap(Base64.getDecoder().decode(recorded.body))
+        answer.complete(Answer.Whole(HttpStatus.valueOf(recorded.status), MediaType.parse(recorded.contentType), body))
     }
 
     private fun refuse(action: ClaimAction.Refuse) {
-        logUnknown(action.code, action.outcome)
+        logIfUnknown(action.code, action.outcome)
         if (action.outcome == Outcome.NOT_RUN) exchange.journal.recordFirstUse()
         answer.complete(Answer.Refused(Refusal(action.code, action.detail, action.outcome, RETRY_AFTER)))
     }
 
-    private fun logUnknown(
+    private fun logIfUnknown(
         code: ResultCode,
         outcome: Outcome,
     ) {
@@ -153,17 +154,17 @@
         LogEvent.CLAIM_OUTCOME_UNKNOWN.log(logger) { "request=${exchange.requestId} code=$code attempt=$attempt" }
     }
 
-    private fun later(action: () -> Unit) {
+    private fun runLater(action: () -> Unit) {
         exchange.eventLoop.schedule(
             { if (!answer.isDone) action() },
-            POLL_INTERVAL.inWholeNanoseconds,
+            STATUS_POLL_INTERVAL.inWholeNanoseconds,
             TimeUnit.NANOSECONDS,
         )
     }
 
     private companion object {
-        const val KEPT_ANSWER_BYTES = 768
-        val POLL_INTERVAL = 100.milliseconds
+        const val MAX_RECORDED_ANSWER_BYTES = 768
+        val STATUS_POLL_INTERVAL = 100.milliseconds
         val RETRY_AFTER = 1.seconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/IdempotencyOutcomeFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/IdempotencyOutcomeFilter.kt
@@ -9,16 +9,17 @@
 import java.util.concurrent.CompletableFuture
 
 /**
- * Keeps `not_run` true for requests that carry an idempotency key: it also speaks for every earlier request under the
- * key, so a refusal from before the claim was read says `unknown`. A caller that sends `Idempotency-Attempt: 1` vouches
- * that there was no earlier request.
+ * Changes the outcome of an error from `not_run` to `unknown` if the request carries an idempotency key and an earlier
+ * request under the key may have run. `not_run` covers all requests under the key, so it isn't certain for an error that
+ * occurs before the claim was read. A caller that sends `Idempotency-Attempt: 1` asserts that there was no earlier
+ * request.
  */
 internal object IdempotencyOutcomeFilter : RequestFilter {
     private const val IDEMPOTENCY_KEY = "idempotency-key"
     private const val IDEMPOTENCY_ATTEMPT = "idempotency-attempt"
 
-    /** Refusals of requests that can't have been accepted earlier in the same form. */
-    private val alwaysRefused =
+    /** Errors for which `not_run` is certain, since an identical earlier request can't have been accepted either. */
+    private val alwaysRejected =
         setOf(
             ResultCode.MALFORMED_REQUEST,
             ResultCode.BODY_TOO_LARGE,
@@ -32,16 +33,16 @@
     ): CompletableFuture<Answer> {
         if (exchange.headers.get(IDEMPOTENCY_KEY) == null) return next.handle(exchange)
         if (exchange.headers.get(IDEMPOTENCY_ATTEMPT) == "1") exchange.journal.recordFirstUse()
-        return next.handle(exchange).thenApply { truthful(exchange, it) }
+        return next.handle(exchange).thenApply { withCertainOutcome(exchange, it) }
     }
 
-    private fun truthful(
+    private fun withCertainOutcome(
         exchange: Exchange,
         answer: Answer,
     ): Answer {
         val refusal = (answer as? Answer.Refused)?.refusal ?: return answer
-        val claimed = refusal.outcome == Outcome.NOT_RUN && !exchange.journal.firstUseProven
-        if (!claimed || refusal.code in alwaysRefused) return answer
+        val uncertain = refusal.outcome == Outcome.NOT_RUN && !exchange.journal.firstUseProven
+        if (!uncertain || refusal.code in alwaysRejected) return answer
         return Answer.Refused(refusal.copy(outcome = Outcome.UNKNOWN))
     }
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
@@ -37,7 +37,7 @@
     private val objects =
         FaultyObjectStore(InMemoryObjectStore(), 1, ObjectStoreFaults(lostAnswers = 0.3, staleReads = 0.2))
     private val members = List(3) { Member(RouterId("router-$it"), FailureDomainId("west"), "10.0.0.$it:1") }
-    private val cut = ConcurrentHashMap.newKeySet<RouterId>()
+    private val unreachable = ConcurrentHashMap.newKeySet<RouterId>()
     private val routers = members.map { TestRouter(it) }
 
     private inner class TestRouter(
@@ -45,13 +45,13 @@
     ) : PeerTransport {
         val handlers = PeerHandlers()
         val ledger = AttemptLedger(self.id)
-        val writers =
+        val writerPool =
             ClaimWriterPool(objects, ShardWriterLimits(writeInterval = 5.milliseconds), NanoClock.SYSTEM) { 0 }
-        val peers =
+        val protocol =
             ClaimPeerProtocol(
                 { FixedFleetView(self, members) },
                 this,
-                writers,
+                writerPool,
                 ledger,
                 NanoClock.SYSTEM,
                 200.milliseconds,
@@ -62,17 +62,18 @@
             path: String,
             body: String,
         ): CompletableFuture<Either<PeerError, String>> {
-            if (to.id in cut || self.id in cut) {
-                return CompletableFuture.completedFuture(PeerError.NotSent("cut").left())
+            if (to.id in unreachable || self.id in unreachable) {
+                return CompletableFuture.completedFuture(PeerError.NotSent("unreachable").left())
             }
-            val handler = checkNotNull(routers.first { it.self.id == to.id }.handlers.of(path)) { "no $path" }
+            val receiver = routers.first { it.self.id == to.id }
+            val handler = checkNotNull(receiver.handlers.of(path)) { "no handler for $path" }
             return CompletableFuture.supplyAsync { handler.handle(body).right() }
         }
     }
 
     @AfterAll
-    fun stop() {
-        routers.forEach { it.writers.close() }
+    fun closeWriters() {
+        routers.forEach { it.writerPool.close() }
     }
 
     private fun claim(
@@ -81,14 +82,14 @@
     ): ClaimVerdict {
         val attempt = router.ledger.open(Long.MAX_VALUE)
         val operation = ClaimOperation.Claim(Digest(key), attempt, Digest("body"), at = 0)
-        return router.peers.settle(ClaimShard("claims/undated/1"), operation).join()
+        return router.protocol.settle(ClaimShard("claims/undated/1"), operation).join()
     }
 
-    private fun grants(
+    private fun grantsPerKey(
         prefix: String,
-        keys: Int,
+        keyCount: Int,
     ): List<Int> =
-        (1..keys).map { number ->
+        (1..keyCount).map { number ->
             routers
                 .map { CompletableFuture.supplyAsync { claim(it, "$prefix$number") } }
                 .count { it.join() == ClaimVerdict.Granted }
@@ -97,15 +98,15 @@
     @Nested
     inner class `a key claimed by every router at once` {
         @Test
-        fun `is granted once through the shard's owner`() {
-            expectThat(grants("together", 20)).isEqualTo(List(20) { 1 })
+        fun `is granted once through the owner of the shard`() {
+            expectThat(grantsPerKey("together", 20)).isEqualTo(List(20) { 1 })
         }
 
         @Test
-        fun `is granted once while routers are cut from each other`() {
-            cut += members.map { it.id }
-            val granted = grants("cut", 10)
-            cut.clear()
+        fun `is granted once while no router can reach another`() {
+            unreachable += members.map { it.id }
+            val granted = grantsPerKey("cut", 10)
+            unreachable.clear()
 
             expectThat(granted).isEqualTo(List(10) { 1 })
         }
@@ -116,17 +117,17 @@
         private val attempt = routers[0].ledger.open(System.nanoTime() + 60_000_000_000)
 
         @Test
-        fun `tells whoever asks`() {
-            expectThat(routers[1].peers.ask(attempt).join()).isEqualTo(AttemptStatus.Pending)
+        fun `reports the status to any router`() {
+            expectThat(routers[1].protocol.requestStatus(attempt).join()).isEqualTo(AttemptStatus.Pending)
             routers[0].ledger.void(attempt)
-            expectThat(routers[2].peers.ask(attempt).join()).isEqualTo(AttemptStatus.Void)
+            expectThat(routers[2].protocol.requestStatus(attempt).join()).isEqualTo(AttemptStatus.Void)
         }
 
         @Test
-        fun `that is cut off gives no status`() {
-            cut += members[0].id
-            val status = routers[1].peers.ask(attempt).join()
-            cut.clear()
+        fun `that is unreachable yields no status`() {
+            unreachable += members[0].id
+            val status = routers[1].protocol.requestStatus(attempt).join()
+            unreachable.clear()
 
             expectThat(status).isNull()
         }
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimRequestTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimRequestTest.kt
@@ -25,14 +25,14 @@
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class ClaimRequestTest {
-    private val deployment = TestDeployment().also { it.publish(noteWithOrders(it)) }
+    private val deployment = TestDeployment().also { it.publish(releaseNoteWithOrders(it)) }
 
     @AfterAll
-    fun stop() {
+    fun closeDeployment() {
         deployment.close()
     }
 
-    private fun noteWithOrders(deployment: TestDeployment) =
+    private fun releaseNoteWithOrders(deployment: TestDeployment) =
         deployment.firstNote().copy(
             services =
                 ServiceChanges(
@@ -40,7 +40,7 @@
                 ),
         )
 
-    private fun order(
+    private fun sendOrder(
         key: String?,
         body: String = "ten slates",
     ): AggregatedHttpResponse {
@@ -56,55 +56,55 @@
             .join()
     }
 
-    private fun error(response: AggregatedHttpResponse): Pair<Int, Outcome> {
+    private fun errorOf(response: AggregatedHttpResponse): Pair<Int, Outcome> {
         val detail = Json.decodeFromString(ErrorBody.serializer(), response.contentUtf8()).error
         return detail.code to detail.outcome
     }
 
-    private fun runsOf(key: String) = deployment.service.records.filter { it.requestId == key }
+    private fun executionsOf(key: String) = deployment.service.records.filter { it.requestId == key }
 
     @Nested
     inner class `an order` {
         @Test
-        fun `without a key is refused as not run`() {
-            expectThat(error(order(null))).isEqualTo(ResultCode.CLAIM_KEY_MISSING.number to Outcome.NOT_RUN)
+        fun `without a key is rejected with outcome not_run`() {
+            expectThat(errorOf(sendOrder(null))).isEqualTo(ResultCode.CLAIM_KEY_MISSING.number to Outcome.NOT_RUN)
         }
 
         @Test
-        fun `sent twice runs once and gets the first answer twice`() {
-            val first = order("order-1")
-            val second = order("order-1")
+        fun `sent twice runs once and returns the first answer to both requests`() {
+            val first = sendOrder("order-1")
+            val second = sendOrder("order-1")
 
             expectThat(second.contentUtf8()).isEqualTo(first.contentUtf8())
             expectThat(second.headers().get("x-almondhaven-replayed")).isEqualTo("true")
-            expectThat(runsOf("order-1")).hasSize(1)
+            expectThat(executionsOf("order-1")).hasSize(1)
         }
 
         @Test
-        fun `with another order's key is refused as not run`() {
-            order("order-2")
+        fun `with the key of another order is rejected with outcome not_run`() {
+            sendOrder("order-2")
 
-            expectThat(error(order("order-2", "eleven slates")))
+            expectThat(errorOf(sendOrder("order-2", "eleven slates")))
                 .isEqualTo(ResultCode.CLAIM_KEY_REUSED.number to Outcome.NOT_RUN)
-            expectThat(runsOf("order-2")).hasSize(1)
+            expectThat(executionsOf("order-2")).hasSize(1)
         }
 
         @Test
-        fun `whose key is older than the retention window is refused as unknown`() {
-            expectThat(error(order("00000000-0000-7000-8000-000000000000")))
+        fun `whose key is older than the retention window is rejected with outcome unknown`() {
+            expectThat(errorOf(sendOrder("00000000-0000-7000-8000-000000000000")))
                 .isEqualTo(ResultCode.CLAIM_KEY_EXPIRED.number to Outcome.UNKNOWN)
         }
 
         @Test
-        fun `sent many times at once runs once`() {
+        fun `sent many times concurrently runs once`() {
             val key = UUID(System.currentTimeMillis() shl 16 or 0x7000, 1L shl 63).toString()
             val answers =
-                List(20) { CompletableFuture.supplyAsync { order(key).contentUtf8() } }
+                List(20) { CompletableFuture.supplyAsync { sendOrder(key).contentUtf8() } }
                     .map { it.join() }
                     .toSet()
 
             expectThat(answers).hasSize(1)
-            expectThat(runsOf(key)).hasSize(1)
+            expectThat(executionsOf(key)).hasSize(1)
         }
     }
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/PlatformOutageTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/PlatformOutageTest.kt
@@ -31,20 +31,20 @@
     private lateinit var platform: FaultyObjectStore
     private val deployment =
         TestDeployment(wrapObjects = { FaultyObjectStore(it, seed = 1).also { faulty -> platform = faulty } })
-            .also { it.publish(noteWithOrders(it)) }
+            .also { it.publish(releaseNoteWithOrders(it)) }
 
     @AfterEach
-    fun calm() {
+    fun resetFaults() {
         platform.outage = false
         deployment.service.answerDelay = Duration.ZERO
     }
 
     @AfterAll
-    fun stop() {
+    fun closeDeployment() {
         deployment.close()
     }
 
-    private fun noteWithOrders(deployment: TestDeployment) =
+    private fun releaseNoteWithOrders(deployment: TestDeployment) =
         deployment.firstNote().copy(
             services =
                 ServiceChanges(
@@ -52,7 +52,7 @@
                 ),
         )
 
-    private fun order(
+    private fun sendOrder(
         key: String,
         timeoutMillis: Long,
         attempt: Int? = null,
@@ -71,55 +71,58 @@
             .join()
     }
 
-    private fun error(response: AggregatedHttpResponse): Pair<Int, Outcome> {
+    private fun errorOf(response: AggregatedHttpResponse): Pair<Int, Outcome> {
         val detail = Json.decodeFromString(ErrorBody.serializer(), response.contentUtf8()).error
         return detail.code to detail.outcome
     }
 
-    /** A void claim keeps back what arrives within the tolerance of clocks after it; its caller sends again. */
-    private fun isHeldBack(response: AggregatedHttpResponse): Boolean =
-        !response.status().isSuccess && error(response).first == ResultCode.CLAIM_VOIDED.number
+    /**
+     * Whether the request was rejected because the claim on its key was voided. A voided claim rejects requests that
+     * arrive within the clock tolerance after it, and the caller has to repeat them.
+     */
+    private fun isRejectedByVoidedClaim(response: AggregatedHttpResponse): Boolean =
+        !response.status().isSuccess && errorOf(response).first == ResultCode.CLAIM_VOIDED.number
 
-    private fun runsOf(key: String) = deployment.service.records.filter { it.requestId == key }
+    private fun executionsOf(key: String) = deployment.service.records.filter { it.requestId == key }
 
     @Nested
-    inner class `while the platform is down an order` {
+    inner class `an order during a platform outage` {
         @Test
-        fun `is refused, as not run only if its caller vouches that it is the first`() {
+        fun `is rejected, with outcome not_run only if its caller asserts that it is the first attempt`() {
             platform.outage = true
-            val errors = listOf(error(order("down-1", 300)), error(order("down-2", 300, attempt = 1)))
+            val errors = listOf(errorOf(sendOrder("down-1", 300)), errorOf(sendOrder("down-2", 300, attempt = 1)))
 
             expectThat(errors).isEqualTo(
                 listOf(Outcome.UNKNOWN, Outcome.NOT_RUN).map { ResultCode.CLAIM_UNSETTLED.number to it },
             )
-            expectThat(runsOf("down-1") + runsOf("down-2")).isEmpty()
+            expectThat(executionsOf("down-1") + executionsOf("down-2")).isEmpty()
         }
 
         @Test
-        fun `that was refused stays not run when the platform is back, and runs once when it is repeated`() {
+        fun `that was rejected does not run after the outage until it is repeated, and then runs once`() {
             platform.outage = true
-            order("back", 300, attempt = 1)
+            sendOrder("back", 300, attempt = 1)
             platform.outage = false
-            expectThat(runsOf("back")).isEmpty()
-            val repeated = generateSequence { order("back", 20_000) }.first { !isHeldBack(it) }
-            order("back", 20_000)
+            expectThat(executionsOf("back")).isEmpty()
+            val repeated = generateSequence { sendOrder("back", 20_000) }.first { !isRejectedByVoidedClaim(it) }
+            sendOrder("back", 20_000)
 
             expectThat(repeated.status().code()).isEqualTo(200)
-            expectThat(runsOf("back")).hasSize(1)
+            expectThat(executionsOf("back")).hasSize(1)
         }
     }
 
     @Nested
-    inner class `an order whose caller doesn't wait for its answer` {
+    inner class `an order whose deadline passes before its answer` {
         @Test
-        fun `runs to its end, and a repeat gets its answer`() {
+        fun `runs to its end, and a repeated request gets its answer`() {
             deployment.service.answerDelay = 800.milliseconds
-            val first = error(order("slow", 400))
-            val second = order("slow", 20_000)
+            val first = errorOf(sendOrder("slow", 400))
+            val second = sendOrder("slow", 20_000)
 
             expectThat(first).isEqualTo(ResultCode.DEADLINE_EXCEEDED.number to Outcome.UNKNOWN)
             expectThat(second.headers().get("x-almondhaven-replayed")).isEqualTo("true")
-            expectThat(runsOf("slow")).hasSize(1)
+            expectThat(executionsOf("slow")).hasSize(1)
         }
     }
 }
