--- a/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
@@ -14,21 +14,21 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonElement
 
-/** Pools evidence about versions between routers. A message holds as many changed readings as fit. */
+/** Gossips quality evidence about model versions. A message holds as many changed readings as fit its budget. */
 internal class EvidenceTopic(
     private val controller: ChoiceController,
 ) : GossipTopic {
     override val name: String = "evidence"
 
     override fun nextPayload(budgetBytes: Int): JsonElement? {
-        val readings = mutableListOf<EvidenceMessage>()
-        var left = budgetBytes - LARGEST_READING_BYTES
-        while (left > 0) {
+        val messages = mutableListOf<EvidenceMessage>()
+        var remainingBytes = budgetBytes - MAX_READING_BYTES
+        while (remainingBytes > 0) {
             val message = EvidenceMessage.of(controller.nextReading() ?: break)
-            readings += message
-            left -= message.bytes
+            messages += message
+            remainingBytes -= message.estimatedBytes
         }
-        return if (readings.isEmpty()) null else json.encodeToJsonElement(serializer, readings)
+        return if (messages.isEmpty()) null else json.encodeToJsonElement(serializer, messages)
     }
 
     override fun mergePayload(
@@ -37,13 +37,13 @@
     ): Unit = controller.merge(json.decodeFromJsonElement(serializer, payload).mapNotNull { it.toReadingOrNull() })
 
     private companion object {
-        const val LARGEST_READING_BYTES = 400
+        const val MAX_READING_BYTES = 400
         val json = Json { ignoreUnknownKeys = true }
         val serializer = ListSerializer(EvidenceMessage.serializer())
     }
 }
 
-/** An [EvidenceReading] in a message. */
+/** Wire form of an [EvidenceReading]. */
 @Serializable
 private data class EvidenceMessage(
     val origin: RouterId,
@@ -53,7 +53,7 @@
     val bucket: Long,
     val counts: String,
 ) {
-    val bytes: Int get() =
+    val estimatedBytes: Int get() =
         FIELD_NAMES_BYTES + origin.value.length + "$version".length + taskClass.value.length + counts.length
 
     fun toReadingOrNull(): EvidenceReading? {
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/GossipTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/GossipTopic.kt
@@ -4,17 +4,17 @@
 import kotlinx.serialization.json.JsonElement
 
 /**
- * State that routers pool by riding on the membership's gossip messages. What is sent must merge: commutative,
- * associative and idempotent, since messages come late, twice, out of order or not at all.
+ * State that routers share by piggybacking it on the gossip messages of the membership protocol. Merging must be
+ * commutative, associative and idempotent, since messages may be delayed, duplicated, reordered or lost.
  */
 public interface GossipTopic {
-    /** Name of the section in gossip messages. */
+    /** Name of the topic's section in gossip messages. */
     public val name: String
 
-    /** What to tell a peer now, within about [budgetBytes] of JSON; null when there is nothing to tell. */
+    /** Returns the payload for the next message, about [budgetBytes] of JSON at most; null if nothing is to be sent. */
     public fun nextPayload(budgetBytes: Int): JsonElement?
 
-    /** Merges what [from] told. */
+    /** Merges a payload that [from] sent. */
     public fun mergePayload(
         from: RouterId,
         payload: JsonElement,
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/GossipTopics.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/GossipTopics.kt
@@ -9,22 +9,25 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** The topics that ride on the membership's messages. They share each message's bytes in turns. */
+/**
+ * The topics whose payloads are piggybacked on membership messages. They share the byte budget of each message; the
+ * topic that is served first rotates from message to message.
+ */
 public class GossipTopics : GossipSections {
     private val topics = CopyOnWriteArrayList<GossipTopic>()
-    private var turn = 0
+    private var rotation = 0
 
-    /** Adds [topic] to the messages. */
+    /** Adds [topic] to the topics that messages carry. */
     public fun register(topic: GossipTopic) {
-        check(topics.none { it.name == topic.name }) { "two gossip topics named ${topic.name}" }
+        check(topics.none { it.name == topic.name }) { "a gossip topic named ${topic.name} is already registered" }
         topics += topic
     }
 
-    /** Sections for one message, at most [budgetBytes] together; a section that doesn't fit is left out. */
+    /** Returns the sections of one message, at most [budgetBytes] in total; a section that doesn't fit is left out. */
     override fun outgoing(budgetBytes: Int): Map<String, JsonElement> {
         if (topics.isEmpty()) return emptyMap()
         var remaining = budgetBytes
-        val first = turn++ % topics.size
+        val first = rotation++ % topics.size
         val ordered = topics.drop(first) + topics.take(first)
         return buildMap {
             ordered.forEach { topic ->
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/HttpPeerTransport.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/HttpPeerTransport.kt
@@ -23,8 +23,8 @@
 import kotlin.time.Duration
 
 /**
- * Speaks the peer protocol over HTTP/1.1, on an event loop of its own. A message that times out closes its connection,
- * so a connection that has gone silent is not used again.
+ * Implements the peer protocol over HTTP/1.1 with a dedicated event loop. A message that times out closes its
+ * connection, so a connection that no longer responds is not reused.
  */
 internal class HttpPeerTransport(
     private val keys: PeerKeyRing,
@@ -37,7 +37,7 @@
             .builder()
             .workerGroup(workers, false)
             .connectTimeoutMillis(timeout.inWholeMilliseconds)
-            .idleTimeoutMillis(IDLE_CONNECTION_MILLIS)
+            .idleTimeoutMillis(CONNECTION_IDLE_TIMEOUT_MILLIS)
             .build()
     private val clients = ConcurrentHashMap<String, WebClient>()
 
@@ -54,36 +54,36 @@
                 .contentType(MediaType.JSON)
                 .set(PeerProtocol.SIGNATURE_HEADER, signature)
                 .build()
-        return client(to.peerAddress)
+        return clientFor(to.peerAddress)
             .execute(headers, body)
             .aggregate()
-            .handle { response, cause -> if (cause != null) failure(cause).left() else read(signature, response) }
+            .handle { response, cause -> if (cause != null) toPeerError(cause).left() else verify(signature, response) }
     }
 
-    private fun read(
+    private fun verify(
         requestSignature: String,
         response: AggregatedHttpResponse,
     ): Either<PeerError, String> {
         if (response.status() != HttpStatus.OK) return PeerError.Rejected(response.status().code()).left()
         val body = response.contentUtf8()
         val signature = response.headers().get(PeerProtocol.SIGNATURE_HEADER).orEmpty()
-        val genuine = keys.verifiesAnswer(signature, requestSignature, body)
-        return if (genuine) body.right() else PeerError.NoAnswer("the answer's signature is wrong").left()
+        val isAuthentic = keys.verifiesAnswer(signature, requestSignature, body)
+        return if (isAuthentic) body.right() else PeerError.NoAnswer("the response has an invalid signature").left()
     }
 
-    private fun failure(failure: Throwable): PeerError {
+    private fun toPeerError(failure: Throwable): PeerError {
         val cause = if (failure is CompletionException) failure.cause ?: failure else failure
         return if (cause is UnprocessedRequestException) PeerError.NotSent("$cause") else PeerError.NoAnswer("$cause")
     }
 
-    private fun client(address: String): WebClient = clients.computeIfAbsent(address, ::build)
+    private fun clientFor(address: String): WebClient = clients.computeIfAbsent(address, ::buildClient)
 
-    private fun build(address: String): WebClient =
+    private fun buildClient(address: String): WebClient =
         WebClient
             .builder("h1c://$address")
             .factory(factory)
             .responseTimeoutMillis(timeout.inWholeMilliseconds)
-            .maxResponseLength(MAXIMUM_ANSWER_BYTES)
+            .maxResponseLength(MAX_RESPONSE_BYTES)
             .decorator(DecodingClient.newDecorator())
             .build()
 
@@ -93,7 +93,7 @@
     }
 
     private companion object {
-        const val MAXIMUM_ANSWER_BYTES = 4_000_000L
-        const val IDLE_CONNECTION_MILLIS = 15_000L
+        const val MAX_RESPONSE_BYTES = 4_000_000L
+        const val CONNECTION_IDLE_TIMEOUT_MILLIS = 15_000L
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
@@ -22,11 +22,11 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** The duty that runs the gossip between routers and publishes the view of the fleet. */
+/** Runs the gossip protocol between routers on a thread of its own and publishes the view of the fleet. */
 internal class PeerController(
     private val network: PeerNetwork,
     private val settings: PeerSettings,
-    holder: ConfigurationHolder,
+    configurationHolder: ConfigurationHolder,
     freshness: ConfigurationFreshness,
     private val clock: NanoClock,
 ) : AutoCloseable {
@@ -37,31 +37,31 @@
             RandomSource.XO_RO_SHI_RO_128_PP.create(),
             clock.nanos(),
         )
-    private val exchange = GossipExchange(membership, holder, freshness, network.topics)
-    private val vmList = settings.vmList?.let { VmListPoller(it) }
+    private val gossip = GossipExchange(membership, configurationHolder, freshness, network.topics)
+    private val vmListPoller = settings.vmList?.let { VmListPoller(it) }
     private var published: FleetView = FleetView.alone(network.self)
     private val duty: DutyThread<PeerTask>
 
     init {
         membership.lookAt(settings.seeds)
-        duty = DutyThread.start("peers", RING, TICK, ::tick, ::handle)
-        network.handlers.register(GossipExchange.PROBE, ::answerProbe)
-        network.handlers.register(GossipExchange.INDIRECT_PROBE, ::relayProbe)
-        network.handlers.register(GossipExchange.FETCH) { exchange.answerFetch(it) }
+        duty = DutyThread.start("peers", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::runTask)
+        network.handlers.register(GossipExchange.PROBE, ::handleProbe)
+        network.handlers.register(GossipExchange.INDIRECT_PROBE, ::handleIndirectProbe)
+        network.handlers.register(GossipExchange.FETCH) { gossip.answerFetch(it) }
     }
 
-    /** Messages that found the ring full. */
+    /** Number of tasks that were rejected because the mailbox was full. */
     val rejected: Long get() = duty.rejected
 
-    private fun answerProbe(body: String): String {
-        val answer = CompletableFuture<String>()
-        require(duty.offer(PeerTask.Probe(body, answer))) { "more peer messages than this router can take" }
-        return await(answer)
+    private fun handleProbe(body: String): String {
+        val response = CompletableFuture<String>()
+        require(duty.offer(PeerTask.AnswerProbe(body, response))) { "the router has too many queued peer messages" }
+        return await(response)
     }
 
-    private fun relayProbe(body: String): String {
+    private fun handleIndirectProbe(body: String): String {
         val reached = CompletableFuture<Boolean>()
-        require(duty.offer(PeerTask.Relay(body, reached))) { "more peer messages than this router can take" }
+        require(duty.offer(PeerTask.RelayProbe(body, reached))) { "the router has too many queued peer messages" }
         return GossipExchange.indirectAnswer(await(reached))
     }
 
@@ -69,45 +69,45 @@
         try {
             future.get(HANDLING_TIMEOUT.inWholeMilliseconds, TimeUnit.MILLISECONDS)
         } catch (exception: TimeoutException) {
-            throw IllegalArgumentException("no answer in time", exception)
+            throw IllegalArgumentException("the peer message was not handled in time", exception)
         }
 
     private fun tick() {
-        vmList?.poll()?.let { membership.lookAt(settings.seeds + it) }
-        exchange.tick(clock.nanos()).forEach(::send)
+        vmListPoller?.poll()?.let { membership.lookAt(settings.seeds + it) }
+        gossip.tick(clock.nanos()).forEach(::send)
         publish()
     }
 
-    private fun handle(message: PeerTask) {
-        when (message) {
-            is PeerTask.Probe -> answer(message)
-            is PeerTask.Relay -> relay(message)
-            is PeerTask.Completed -> completed(message)
-            is PeerTask.Leave -> leave(message)
+    private fun runTask(task: PeerTask) {
+        when (task) {
+            is PeerTask.AnswerProbe -> answerProbe(task)
+            is PeerTask.RelayProbe -> relayProbe(task)
+            is PeerTask.CompleteRequest -> completeRequest(task)
+            is PeerTask.Leave -> leave(task)
         }
         publish()
     }
 
-    private fun answer(message: PeerTask.Probe) {
+    private fun answerProbe(task: PeerTask.AnswerProbe) {
         try {
-            message.answer.complete(exchange.answerProbe(clock.nanos(), message.body))
+            task.response.complete(gossip.answerProbe(clock.nanos(), task.body))
         } catch (exception: IllegalArgumentException) {
-            message.answer.completeExceptionally(exception)
+            task.response.completeExceptionally(exception)
         }
     }
 
-    private fun relay(message: PeerTask.Relay) {
-        val request = exchange.relayedProbe(clock.nanos(), message.body)
-        post(request).thenAccept { message.reached.complete(it.isRight()) }
+    private fun relayProbe(task: PeerTask.RelayProbe) {
+        val request = gossip.relayedProbe(clock.nanos(), task.body)
+        post(request).thenAccept { task.reached.complete(it.isRight()) }
     }
 
-    private fun completed(message: PeerTask.Completed) {
-        exchange.completed(clock.nanos(), message.request, message.answer.getOrNull()).forEach(::send)
+    private fun completeRequest(task: PeerTask.CompleteRequest) {
+        gossip.completed(clock.nanos(), task.request, task.result.getOrNull()).forEach(::send)
     }
 
-    private fun leave(message: PeerTask.Leave) {
-        val posts = exchange.leave(clock.nanos()).map { post(it) }
-        CompletableFuture.allOf(*posts.toTypedArray()).thenRun { message.told.complete(Unit) }
+    private fun leave(task: PeerTask.Leave) {
+        val posts = gossip.leave(clock.nanos()).map { post(it) }
+        CompletableFuture.allOf(*posts.toTypedArray()).thenRun { task.notified.complete(Unit) }
     }
 
     private fun send(request: PeerRequest) {
@@ -115,8 +115,8 @@
     }
 
     private fun post(request: PeerRequest) =
-        network.transport.post(request.to, request.path, request.body).whenComplete { answer, _ ->
-            if (answer != null) duty.offer(PeerTask.Completed(request, answer))
+        network.transport.post(request.to, request.path, request.body).whenComplete { result, _ ->
+            if (result != null) duty.offer(PeerTask.CompleteRequest(request, result))
         }
 
     private fun publish() {
@@ -131,10 +131,10 @@
         before: FleetView,
         after: FleetView,
     ) {
-        val old = before.members.map { it.id }.toSet()
-        val new = after.members.map { it.id }.toSet()
-        (new - old).forEach { log(LogEvent.MEMBER_JOINED, it, after) }
-        (old - new).forEach { log(LogEvent.MEMBER_LEFT, it, after) }
+        val oldIds = before.members.map { it.id }.toSet()
+        val newIds = after.members.map { it.id }.toSet()
+        (newIds - oldIds).forEach { log(LogEvent.MEMBER_JOINED, it, after) }
+        (oldIds - newIds).forEach { log(LogEvent.MEMBER_LEFT, it, after) }
     }
 
     private fun log(
@@ -143,19 +143,19 @@
         view: FleetView,
     ): Unit = event.log(logger) { "router=$id members=${view.members.size}" }
 
-    /** Tells a few other routers that this one stops, and stops. */
+    /** Notifies a few other routers that this one leaves, and stops the thread. */
     override fun close() {
-        val told = CompletableFuture<Unit>()
-        if (duty.offer(PeerTask.Leave(told))) {
-            runCatching { told.get(HANDLING_TIMEOUT.inWholeMilliseconds, TimeUnit.MILLISECONDS) }
+        val notified = CompletableFuture<Unit>()
+        if (duty.offer(PeerTask.Leave(notified))) {
+            runCatching { notified.get(HANDLING_TIMEOUT.inWholeMilliseconds, TimeUnit.MILLISECONDS) }
         }
         duty.stop()
-        vmList?.close()
+        vmListPoller?.close()
     }
 
     private companion object {
-        const val RING = 1_024
-        val TICK: Duration = 100.milliseconds
+        const val MAILBOX_CAPACITY = 1_024
+        val TICK_INTERVAL: Duration = 100.milliseconds
         val HANDLING_TIMEOUT: Duration = 450.milliseconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerHandlers.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerHandlers.kt
@@ -3,7 +3,7 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * The handlers of the peer protocol by path.
+ * Registry of the peer protocol's message handlers, by path.
  *
  * ```
  * peers.handlers.register("claims/void") { body -> voidClaim(body) }
@@ -12,14 +12,14 @@
 public class PeerHandlers {
     private val handlers = ConcurrentHashMap<String, PeerHandler>()
 
-    /** Answers messages to `/peer/v1/[path]` with [handler]; the messages may come twice, late and out of order. */
+    /** Registers [handler] for messages to `/peer/v1/[path]`, which may be duplicated, delayed or reordered. */
     public fun register(
         path: String,
         handler: PeerHandler,
     ) {
         val previous = handlers.putIfAbsent(path, handler)
-        check(previous == null) { "two handlers for the peer path $path" }
+        check(previous == null) { "a handler for the peer path $path is already registered" }
     }
 
-    internal fun of(path: String): PeerHandler? = handlers[path]
+    internal fun find(path: String): PeerHandler? = handlers[path]
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerNetwork.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerNetwork.kt
@@ -15,27 +15,27 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * What the parts of a router need in order to speak to other routers.
+ * Gives the components of a router access to the other routers.
  *
- * @property self this router as the others know it.
- * @property transport sends messages; fails every message when the router has no peer settings.
- * @property handlers where parts register what they answer.
- * @property topics where parts register what rides on the membership's messages.
+ * @property self the membership entry of this router.
+ * @property transport sends messages to peers; every message fails if the router has no peer settings.
+ * @property handlers registry of the handlers for messages from peers.
+ * @property topics registry of the topics that are gossiped with membership messages.
  */
 public class PeerNetwork private constructor(
     public val self: Member,
     public val transport: PeerTransport,
     public val handlers: PeerHandlers,
-    private val parts: List<AutoCloseable>,
+    private val resources: List<AutoCloseable>,
 ) : AutoCloseable {
     public val topics: GossipTopics = GossipTopics()
 
-    private val published = PublishedView(self)
+    private val publishedView = PublishedView(self)
 
-    /** Routers held to be alive; reads the newest view at every call. */
-    public val view: FleetView get() = published
+    /** The routers considered alive; the returned view always reflects the latest membership. */
+    public val view: FleetView get() = publishedView
 
-    /** Routers that have stopped answering but are still in the view. */
+    /** Routers that no longer respond to probes but have not been removed from the view yet. */
     @Volatile
     internal var suspects: Set<RouterId> = emptySet()
         private set
@@ -44,20 +44,20 @@
         view: FleetView,
         suspects: Set<RouterId>,
     ) {
-        published.current = view
+        publishedView.current = view
         this.suspects = suspects
     }
 
     override fun close() {
-        parts.forEach { it.close() }
+        resources.forEach { it.close() }
     }
 
     public companion object {
         private val MESSAGE_TIMEOUT: Duration = 500.milliseconds
         private const val NO_ADDRESS = ""
-        private const val HEXADECIMAL = 16
+        private const val HEX_RADIX = 16
 
-        /** Listens for peers as [settings] say; with none, the network of a router that knows no other. */
+        /** Starts listening for peers; without [settings], returns the network of a router that has no peers. */
         internal fun open(
             settings: PeerSettings?,
             domain: FailureDomainId,
@@ -79,7 +79,7 @@
                         .current()
                         .nextLong()
                         .toULong()
-                        .toString(HEXADECIMAL),
+                        .toString(HEX_RADIX),
             )
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerServer.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerServer.kt
@@ -22,24 +22,25 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Listens for messages of other routers, on threads of its own so that callers' load doesn't delay them. */
+/** Serves the peer protocol on dedicated threads, so that load from callers doesn't delay messages between routers. */
 internal class PeerServer(
     address: InetSocketAddress,
     private val keys: PeerKeyRing,
     private val handlers: PeerHandlers,
 ) : AutoCloseable {
     private val workers = EventLoopGroups.newEventLoopGroup(1, "peer-server")
-    private val executor = BlockingTaskExecutor.builder().numThreads(HANDLER_THREADS).build()
+    private val handlerExecutor = BlockingTaskExecutor.builder().numThreads(HANDLER_THREADS).build()
     private val server =
         Server
             .builder()
             .http(address)
             .workerGroup(workers, false)
-            .blockingTaskExecutor(executor, false)
-            .maxRequestLength(MAXIMUM_MESSAGE_BYTES)
+            .blockingTaskExecutor(handlerExecutor, false)
+            .maxRequestLength(MAX_REQUEST_BYTES)
             .gracefulShutdownTimeoutMillis(0, 0)
-            .decorator(EncodingService.builder().minBytesToForceChunkedEncoding(COMPRESSED_FROM_BYTES).newDecorator())
-            .service(
+            .decorator(
+                EncodingService.builder().minBytesToForceChunkedEncoding(MIN_COMPRESSED_RESPONSE_BYTES).newDecorator(),
+            ).service(
                 "prefix:${PeerProtocol.PATH_PREFIX}",
                 HttpService {
                     context,
@@ -49,7 +50,7 @@
                 },
             ).build()
 
-    /** Port it listens on, once started. */
+    /** The port on which the server listens; available once it is started. */
     val port: Int get() = server.activeLocalPort()
 
     fun start() {
@@ -59,26 +60,26 @@
     private fun serve(
         path: String,
         request: HttpRequest,
-    ): HttpResponse = HttpResponse.of(request.aggregate().thenApplyAsync({ answer(path, it) }, executor))
+    ): HttpResponse = HttpResponse.of(request.aggregate().thenApplyAsync({ respond(path, it) }, handlerExecutor))
 
-    private fun answer(
+    private fun respond(
         mappedPath: String,
         request: AggregatedHttpRequest,
     ): HttpResponse {
         val name = mappedPath.removePrefix("/")
         val signature = request.headers().get(PeerProtocol.SIGNATURE_HEADER).orEmpty()
         val body = request.contentUtf8()
-        val handler = handlers.of(name)
+        val handler = handlers.find(name)
         return when {
             !keys.verifiesRequest(
                 signature,
                 PeerProtocol.PATH_PREFIX + name,
                 body,
-            ) -> refuse(name, HttpStatus.UNAUTHORIZED)
+            ) -> reject(name, HttpStatus.UNAUTHORIZED)
 
-            handler == null -> refuse(name, HttpStatus.NOT_FOUND)
+            handler == null -> reject(name, HttpStatus.NOT_FOUND)
 
-            request.method() !in METHODS -> refuse(name, HttpStatus.METHOD_NOT_ALLOWED)
+            request.method() !in ALLOWED_METHODS -> reject(name, HttpStatus.METHOD_NOT_ALLOWED)
 
             else -> handle(handler, name, signature, body)
         }
@@ -104,7 +105,7 @@
             HttpResponse.of(HttpStatus.BAD_REQUEST)
         }
 
-    private fun refuse(
+    private fun reject(
         name: String,
         status: HttpStatus,
     ): HttpResponse {
@@ -115,13 +116,13 @@
     override fun close() {
         server.stop().join()
         workers.shutdownGracefully(0, 0, TimeUnit.SECONDS)
-        executor.shutdown()
+        handlerExecutor.shutdown()
     }
 
     private companion object {
         const val HANDLER_THREADS = 4
-        const val MAXIMUM_MESSAGE_BYTES = 4_000_000L
-        const val COMPRESSED_FROM_BYTES = 4_096
-        val METHODS = setOf(HttpMethod.GET, HttpMethod.POST)
+        const val MAX_REQUEST_BYTES = 4_000_000L
+        const val MIN_COMPRESSED_RESPONSE_BYTES = 4_096
+        val ALLOWED_METHODS = setOf(HttpMethod.GET, HttpMethod.POST)
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerTask.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerTask.kt
@@ -4,28 +4,28 @@
 import dev.almondhaven.decision.distribution.PeerRequest
 import java.util.concurrent.CompletableFuture
 
-/** Work on the ring of the [PeerController]. */
+/** A task in the mailbox of the [PeerController]. */
 internal sealed interface PeerTask {
-    /** A probe came in; [answer] is completed with what to answer. */
-    class Probe(
+    /** Answers a probe from another router; [response] is completed with the response body. */
+    class AnswerProbe(
         val body: String,
-        val answer: CompletableFuture<String>,
+        val response: CompletableFuture<String>,
     ) : PeerTask
 
-    /** Another router asks for a probe of a third one; [reached] is completed with the result. */
-    class Relay(
+    /** Probes a third router on behalf of another one; [reached] is completed with whether it responded. */
+    class RelayProbe(
         val body: String,
         val reached: CompletableFuture<Boolean>,
     ) : PeerTask
 
-    /** A message of this router was answered or failed. */
-    class Completed(
+    /** Processes the response to [request], or its failure. */
+    class CompleteRequest(
         val request: PeerRequest,
-        val answer: Either<PeerError, String>,
+        val result: Either<PeerError, String>,
     ) : PeerTask
 
-    /** The router stops. */
+    /** Announces that this router leaves the fleet; [notified] is completed once peers were notified. */
     class Leave(
-        val told: CompletableFuture<Unit>,
+        val notified: CompletableFuture<Unit>,
     ) : PeerTask
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerTransport.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerTransport.kt
@@ -4,27 +4,27 @@
 import dev.almondhaven.decision.membership.Member
 import java.util.concurrent.CompletableFuture
 
-/** Why a peer gave no answer. */
+/** Why a message to a peer got no response. */
 public sealed interface PeerError {
-    /** The message certainly didn't reach the peer. */
+    /** The message was not sent, so the peer certainly didn't process it. */
     public data class NotSent(
         public val reason: String,
     ) : PeerError
 
-    /** The peer may have got the message. */
+    /** No valid response arrived; the peer may have processed the message. */
     public data class NoAnswer(
         public val reason: String,
     ) : PeerError
 
-    /** The peer refused the message. */
+    /** The peer rejected the message with the HTTP status code [status]. */
     public data class Rejected(
         public val status: Int,
     ) : PeerError
 }
 
-/** Sends messages of the peer protocol. */
+/** Sends messages of the peer protocol to other routers. */
 public interface PeerTransport {
-    /** Posts JSON [body] to `/peer/v1/[path]` of [to]; the right side is the JSON answer. Never blocks. */
+    /** Posts the JSON [body] to `/peer/v1/[path]` of [to]; the right side is the JSON response. Never blocks. */
     public fun post(
         to: Member,
         path: String,
@@ -32,8 +32,8 @@
     ): CompletableFuture<Either<PeerError, String>>
 }
 
-/** Answers messages of the peer protocol that arrive at one path. Runs on a blocking executor, not an event loop. */
+/** Handles messages of the peer protocol to one path. Runs on a blocking executor, not on an event loop. */
 public fun interface PeerHandler {
-    /** The JSON answer to JSON [body]. */
+    /** Returns the JSON response to the JSON [body]; an [IllegalArgumentException] rejects the message. */
     public fun handle(body: String): String
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/QuarantineTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/QuarantineTopic.kt
@@ -8,7 +8,10 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonElement
 
-/** Tells every peer all quarantines that this router knows of: they are few, and each round doubles who knows. */
+/**
+ * Gossips all quarantines that this router knows of with every message. They are few, and each gossip round about
+ * doubles the number of routers that know them.
+ */
 internal class QuarantineTopic(
     private val controller: ChoiceController,
 ) : GossipTopic {
@@ -17,7 +20,7 @@
     override fun nextPayload(budgetBytes: Int): JsonElement? {
         val newest =
             controller.snapshot.quarantines.all
-                .takeLast(minOf(MAXIMUM, budgetBytes / LARGEST_BYTES))
+                .takeLast(minOf(MAX_QUARANTINES, budgetBytes / MAX_QUARANTINE_BYTES))
         return if (newest.isEmpty()) null else json.encodeToJsonElement(serializer, newest)
     }
 
@@ -27,8 +30,8 @@
     ): Unit = controller.merge(QuarantineSet.of(json.decodeFromJsonElement(serializer, payload)))
 
     private companion object {
-        const val MAXIMUM = 16
-        const val LARGEST_BYTES = 450
+        const val MAX_QUARANTINES = 16
+        const val MAX_QUARANTINE_BYTES = 450
         val json = Json { ignoreUnknownKeys = true }
         val serializer = ListSerializer(Quarantine.serializer())
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/StatusReporter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/StatusReporter.kt
@@ -14,17 +14,17 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Says where this router stands, and takes configurations that operators push. */
+/** Reports the status of this router to peers and operators, and accepts configurations that operators push. */
 internal class StatusReporter(
     private val network: PeerNetwork,
-    private val holder: CatalogueHolder,
+    private val catalogueHolder: CatalogueHolder,
     private val freshness: ConfigurationFreshness,
     private val clock: NanoClock,
     private val lifecycle: Lifecycle,
 ) {
-    private val loggedStale = AtomicBoolean()
+    private val isLoggedAsStale = AtomicBoolean()
 
-    /** Whether the router takes callers and reaches the platform, as its other parts know it. */
+    /** Lifecycle state of the router, as its other components know it. */
     interface Lifecycle {
         val ready: Boolean
         val draining: Boolean
@@ -33,15 +33,18 @@
 
     init {
         network.handlers.register(PeerProtocol.STATUS) { statusText() }
-        network.handlers.register(PeerProtocol.CONFIGURATION, ::takePushed)
+        network.handlers.register(PeerProtocol.CONFIGURATION, ::handlePush)
     }
 
-    /** Epoch milliseconds since which nobody within reach has confirmed the configuration; null while somebody has. */
+    /**
+     * Epoch milliseconds since which neither the platform nor a reachable peer has confirmed the configuration; null
+     * while it is confirmed.
+     */
     fun staleSince(): Long? {
         val now = clock.nanos()
-        val since = if (holder.configured) freshness.staleSince(now, holder.generation) else null
+        val since = if (catalogueHolder.configured) freshness.staleSince(now, catalogueHolder.generation) else null
         val age = since?.let { (now - it) / NANOS_PER_MILLISECOND }
-        logChange(age)
+        logStalenessChange(age)
         return age?.let { System.currentTimeMillis() - it }
     }
 
@@ -49,35 +52,35 @@
         PeerStatus(
             network.self.id,
             network.self.failureDomain,
-            holder.generation,
-            holder.digest,
-            holder.inForceSince,
+            catalogueHolder.generation,
+            catalogueHolder.digest,
+            catalogueHolder.inForceSince,
             staleSince(),
             lifecycle.platformReachable,
             lifecycle.ready,
             lifecycle.draining,
-            members(),
+            peerMembers(),
         )
 
-    private fun members(): List<PeerMember> {
+    private fun peerMembers(): List<PeerMember> {
         val suspects = network.suspects
         return network.view.members.map { PeerMember(it.id, it.failureDomain, it.peerAddress, it.id in suspects) }
     }
 
     private fun statusText(): String = PeerProtocol.json.encodeToString(PeerStatus.serializer(), status())
 
-    private fun takePushed(body: String): String {
+    private fun handlePush(body: String): String {
         val push = PeerProtocol.json.decodeFromString(ConfigurationPush.serializer(), body)
-        val taken = holder.offer(push.catalogue)
-        val held = ConfigurationHeld(holder.generation, taken)
+        val taken = catalogueHolder.offer(push.catalogue)
+        val held = ConfigurationHeld(catalogueHolder.generation, taken)
         return PeerProtocol.json.encodeToString(ConfigurationHeld.serializer(), held)
     }
 
-    private fun logChange(ageMillis: Long?) {
+    private fun logStalenessChange(ageMillis: Long?) {
         val stale = ageMillis != null
-        if (!loggedStale.compareAndSet(!stale, stale)) return
+        if (!isLoggedAsStale.compareAndSet(!stale, stale)) return
         val event = if (stale) LogEvent.CONFIGURATION_STALE else LogEvent.CONFIGURATION_CONFIRMED
-        event.log(logger) { "generation=${holder.generation} unconfirmedMillis=${ageMillis ?: 0}" }
+        event.log(logger) { "generation=${catalogueHolder.generation} unconfirmedMillis=${ageMillis ?: 0}" }
     }
 
     private companion object {
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/VmListPoller.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/VmListPoller.kt
@@ -12,7 +12,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Reads the platform's list of VMs now and then. The list lags, so it only says where to look for routers. */
+/** Polls the platform's list of VMs. The list lags behind, so it only suggests where to look for routers. */
 internal class VmListPoller(
     address: String,
 ) : AutoCloseable {
@@ -20,38 +20,40 @@
     private val client =
         WebClient
             .builder(URI(address).resolve("/"))
-            .responseTimeoutMillis(TIMEOUT.inWholeMilliseconds)
+            .responseTimeoutMillis(RESPONSE_TIMEOUT.inWholeMilliseconds)
             .build()
-    private val news = AtomicReference<List<String>>()
-    private val reading = AtomicBoolean()
-    private var nextAt = System.nanoTime()
+    private val latestAddresses = AtomicReference<List<String>>()
+    private val requestInFlight = AtomicBoolean()
+    private var nextPollAt = System.nanoTime()
 
-    /** Peer addresses of the live VMs if the list has been read since the last call. Never blocks. */
+    /** Returns the peer addresses of the live VMs if a new list has arrived since the last call. Never blocks. */
     fun poll(): List<String>? {
-        if (System.nanoTime() - nextAt >= 0 && reading.compareAndSet(false, true)) {
-            nextAt = System.nanoTime() + INTERVAL.inWholeNanoseconds
-            read()
+        if (System.nanoTime() - nextPollAt >= 0 && requestInFlight.compareAndSet(false, true)) {
+            nextPollAt = System.nanoTime() + POLL_INTERVAL.inWholeNanoseconds
+            fetch()
         }
-        return news.getAndSet(null)
+        return latestAddresses.getAndSet(null)
     }
 
-    private fun read() {
+    private fun fetch() {
         client.get(path).aggregate().handle { response, _ ->
-            if (response?.status() == HttpStatus.OK) runCatching { news.set(addresses(response.contentUtf8())) }
-            reading.set(false)
+            if (response?.status() == HttpStatus.OK) {
+                runCatching { latestAddresses.set(parseAddresses(response.contentUtf8())) }
+            }
+            requestInFlight.set(false)
         }
     }
 
-    private fun addresses(text: String): List<String> =
+    private fun parseAddresses(text: String): List<String> =
         PeerProtocol.json
             .decodeFromString(ListSerializer(VmListEntry.serializer()), text)
             .filter { it.state == VmState.LIVE }
             .map { it.peerAddress }
 
-    override fun close(): Unit = reading.set(true)
+    override fun close(): Unit = requestInFlight.set(true)
 
     private companion object {
-        val INTERVAL: Duration = 15.seconds
-        val TIMEOUT: Duration = 2.seconds
+        val POLL_INTERVAL: Duration = 15.seconds
+        val RESPONSE_TIMEOUT: Duration = 2.seconds
     }
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
@@ -66,7 +66,7 @@
                 return CompletableFuture.completedFuture(PeerError.NotSent("unreachable").left())
             }
             val receiver = routers.first { it.self.id == to.id }
-            val handler = checkNotNull(receiver.handlers.of(path)) { "no handler for $path" }
+            val handler = checkNotNull(receiver.handlers.find(path)) { "no handler for $path" }
             return CompletableFuture.supplyAsync { handler.handle(body).right() }
         }
     }
--- a/router/src/test/kotlin/dev/almondhaven/router/peer/PeerTransportTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/peer/PeerTransportTest.kt
@@ -18,26 +18,26 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class PeerTransportTest {
     private val key = PeerKey("0123456789abcdef")
-    private val other = PeerKey("fedcba9876543210")
+    private val foreignKey = PeerKey("fedcba9876543210")
     private val receiver = open(key)
     private val sender = open(key)
-    private val stranger = open(other)
+    private val senderWithForeignKey = open(foreignKey)
 
     init {
         receiver.handlers.register("echo") { it }
         receiver.handlers.register("long") { "x".repeat(100_000) }
-        receiver.handlers.register("picky") { throw IllegalArgumentException("unreadable") }
+        receiver.handlers.register("rejecting") { throw IllegalArgumentException("unreadable") }
     }
 
     private fun open(key: PeerKey): PeerNetwork =
         PeerNetwork.open(PeerSettings("127.0.0.1:0", listOf(key)), FailureDomainId("west"))
 
     @AfterAll
-    fun stop() {
-        listOf(receiver, sender, stranger).forEach { it.close() }
+    fun closeNetworks() {
+        listOf(receiver, sender, senderWithForeignKey).forEach { it.close() }
     }
 
-    private fun PeerNetwork.ask(
+    private fun PeerNetwork.post(
         path: String,
         body: String = "{}",
         to: Member = receiver.self,
@@ -46,28 +46,28 @@
     @Nested
     inner class `a message` {
         @Test
-        fun `is answered by the handler of its path`() {
-            expectThat(sender.ask("echo", """{"a":"č"}""")).isEqualTo("""{"a":"č"}""".right())
+        fun `is handled by the handler of its path`() {
+            expectThat(sender.post("echo", """{"a":"č"}""")).isEqualTo("""{"a":"č"}""".right())
         }
 
         @Test
-        fun `may have a long answer`() {
-            expectThat(sender.ask("long")).isEqualTo("x".repeat(100_000).right())
+        fun `may have a long response`() {
+            expectThat(sender.post("long")).isEqualTo("x".repeat(100_000).right())
         }
 
         @Test
-        fun `that can't be handled is refused with a status`() {
-            val answers = listOf(sender.ask("nowhere"), sender.ask("picky"), stranger.ask("echo"))
+        fun `that can't be handled is rejected with an HTTP status`() {
+            val results = listOf(sender.post("nowhere"), sender.post("rejecting"), senderWithForeignKey.post("echo"))
 
-            expectThat(answers)
+            expectThat(results)
                 .isEqualTo(listOf(404, 400, 401).map { PeerError.Rejected(it).left() })
         }
 
         @Test
-        fun `to nobody is known not to be sent`() {
-            val nobody = Member(RouterId("nobody"), FailureDomainId("west"), "127.0.0.1:1")
+        fun `to an unreachable address fails as not sent`() {
+            val unreachable = Member(RouterId("unreachable"), FailureDomainId("west"), "127.0.0.1:1")
 
-            expectThat(sender.ask("echo", to = nobody).leftOrNull()).isA<PeerError.NotSent>()
+            expectThat(sender.post("echo", to = unreachable).leftOrNull()).isA<PeerError.NotSent>()
         }
     }
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/peer/RouterGossipTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/peer/RouterGossipTest.kt
@@ -44,31 +44,32 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Routers on loopback, the second one cut off from the platform from its start. */
+/** Runs two routers over loopback, the second of which can't reach the platform from the start. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 @TestMethodOrder(MethodOrderer.OrderAnnotation::class)
 class RouterGossipTest {
     private val key = PeerKey("0123456789abcdef")
-    private val ring = PeerKeyRing(listOf(key))
+    private val keyRing = PeerKeyRing(listOf(key))
     private val objects = InMemoryObjectStore()
     private val first = Router.start(settings("west"), objects)
-    private val cutOff = Router.start(settings("east", listOf(first.self.peerAddress)), Unreachable(objects))
-    private val routers = listOf(first, cutOff)
+    private val partitioned =
+        Router.start(settings("east", listOf(first.self.peerAddress)), UnreachableObjectStore(objects))
+    private val routers = listOf(first, partitioned)
 
-    private class Unreachable(
+    private class UnreachableObjectStore(
         objects: ObjectStore,
     ) : ObjectStore by objects {
         override fun list(
             prefix: String,
             after: dev.almondhaven.store.ObjectKey?,
             limit: Int,
-        ) = Either.Left(PlatformError.NoAnswer("cut off"))
+        ) = Either.Left(PlatformError.NoAnswer("partitioned"))
 
         override fun watch(
             prefix: String,
             after: Revision,
             wait: Duration,
-        ) = Either.Left(PlatformError.NoAnswer("cut off"))
+        ) = Either.Left(PlatformError.NoAnswer("partitioned"))
     }
 
     private fun settings(
@@ -83,13 +84,13 @@
         )
     }
 
-    private fun Router.call(
+    private fun Router.callPeerPath(
         path: String,
         body: String?,
     ): String {
         val fullPath = PeerProtocol.PATH_PREFIX + path
         val method = if (body == null) HttpMethod.GET else HttpMethod.POST
-        val signature = ring.signRequest(fullPath, body.orEmpty())
+        val signature = keyRing.signRequest(fullPath, body.orEmpty())
         val headers = RequestHeaders.of(method, fullPath, PeerProtocol.SIGNATURE_HEADER, signature)
         return WebClient
             .of("http://${self.peerAddress}")
@@ -100,57 +101,57 @@
     }
 
     private fun Router.status(): PeerStatus =
-        PeerProtocol.json.decodeFromString(PeerStatus.serializer(), call(PeerProtocol.STATUS, body = null))
+        PeerProtocol.json.decodeFromString(PeerStatus.serializer(), callPeerPath(PeerProtocol.STATUS, body = null))
 
     private fun eventually(
-        what: String,
-        holds: () -> Boolean,
+        description: String,
+        condition: () -> Boolean,
     ) {
-        repeat(PATIENCE_STEPS) {
-            if (holds()) return
-            TimeUnit.MILLISECONDS.sleep(STEP_MILLIS)
+        repeat(MAX_POLLS) {
+            if (condition()) return
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS)
         }
-        error("$what did not happen; ${routers.map { it.status() }}")
+        error("$description did not happen; ${routers.map { it.status() }}")
     }
 
-    private fun publish(id: String): Generation {
+    private fun publishFailureDomain(id: String): Generation {
         val domains = FailureDomainChanges(added = listOf(FailureDomain(FailureDomainId(id), RegionId("wales"))))
         val entry = ConfigurationEntry.NotePublished(ReleaseNote(NoteId(id), "test", failureDomains = domains))
         return ConfigurationStore(objects).publish(entry, Publisher("test", 0, "test")).getOrNull()!!.generation
     }
 
     @AfterAll
-    fun stop() {
-        cutOff.close()
+    fun closeRouters() {
+        partitioned.close()
         first.close()
     }
 
     @Test
     @Order(1)
-    fun `find each other from one seed`() {
+    fun `discover each other from one seed`() {
         val expected = routers.map { it.self.id }.sortedBy { it.value }
 
-        eventually("one view") { routers.all { router -> router.status().members.map { it.id } == expected } }
+        eventually("a common view") { routers.all { router -> router.status().members.map { it.id } == expected } }
     }
 
     @Test
     @Order(2)
-    fun `without configuration are not ready`() {
+    fun `are not ready without a configuration`() {
         expectThat(routers.map { it.status().ready }).isEqualTo(listOf(false, false))
     }
 
     @Test
     @Order(3)
-    fun `bring a published note in force where the platform is out of reach, and know it is confirmed`() {
-        val generation = publish("west")
+    fun `apply a published note on a router that cannot reach the platform, and report it as confirmed`() {
+        val generation = publishFailureDomain("west")
         eventually("generation $generation") { routers.all { it.status().generation == generation } }
-        // The configuration may come from the peer before the first call to the platform has failed.
-        eventually("a failed call to the platform") { !cutOff.status().platformReachable }
+        // The configuration may arrive from the peer before the first call to the platform has failed.
+        eventually("a failed call to the platform") { !partitioned.status().platformReachable }
 
-        val status = cutOff.status()
+        val status = partitioned.status()
         expectThat(status.copy(members = emptyList(), inForceSince = null)).isEqualTo(
             PeerStatus(
-                cutOff.self.id,
+                partitioned.self.id,
                 FailureDomainId("east"),
                 generation,
                 first.status().digest,
@@ -162,9 +163,9 @@
 
     @Test
     @Order(4)
-    fun `take a pushed catalogue only if it is newer`() {
+    fun `accept a pushed catalogue only if it is newer`() {
         val pushed = Catalogue(Generation(3))
-        val answers =
+        val replies =
             listOf(pushed, Catalogue(Generation(2)), pushed.copy(failureDomains = emptyList())).map { catalogue ->
                 val body =
                     PeerProtocol.json.encodeToString(
@@ -173,24 +174,24 @@
                     )
                 PeerProtocol.json.decodeFromString(
                     ConfigurationHeld.serializer(),
-                    cutOff.call(PeerProtocol.CONFIGURATION, body),
+                    partitioned.callPeerPath(PeerProtocol.CONFIGURATION, body),
                 )
             }
 
-        expectThat(answers)
+        expectThat(replies)
             .isEqualTo(listOf(true, false, false).map { ConfigurationHeld(Generation(3), it) })
         eventually("generation 3 everywhere") { routers.all { it.status().generation == Generation(3) } }
     }
 
     @Test
     @Order(5)
-    fun `say in status, metrics and answers that the platform does not confirm what is in force`() {
-        eventually("stale") { cutOff.status().staleSince != null }
-        val client = WebClient.of("http://127.0.0.1:${cutOff.port}")
-        val answer = client.get("/v1/models").aggregate().join()
+    fun `report a configuration that the platform does not confirm as stale in status, metrics and responses`() {
+        eventually("a stale configuration") { partitioned.status().staleSince != null }
+        val client = WebClient.of("http://127.0.0.1:${partitioned.port}")
+        val response = client.get("/v1/models").aggregate().join()
         val metrics = client.get("/metrics").aggregate().join()
 
-        expectThat(answer.headers().get("x-almondhaven-configuration")?.substringBefore(" since"))
+        expectThat(response.headers().get("x-almondhaven-configuration")?.substringBefore(" since"))
             .isNotNull()
             .isEqualTo("3; stale")
         expectThat("almondhaven_configuration_stale_seconds 0.0" in metrics.contentUtf8()).isEqualTo(false)
@@ -205,7 +206,7 @@
 
     @Test
     @Order(6)
-    fun `see a router leave that stops`() {
+    fun `remove a router from the view when it stops`() {
         val third = Router.start(settings("west", listOf(first.self.peerAddress)), objects)
         eventually("three members") { routers.all { it.status().members.size == 3 } }
         third.close()
@@ -214,7 +215,7 @@
     }
 
     private companion object {
-        const val PATIENCE_STEPS = 500
-        const val STEP_MILLIS = 20L
+        const val MAX_POLLS = 500
+        const val POLL_INTERVAL_MILLIS = 20L
     }
 }
