--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingController.kt
@@ -30,9 +30,9 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Brings the billing records of this router to the platform. Batches are copied to a peer as soon as they are sealed,
- * and stored by the one router that writes for the failure domain; whatever is stored twice is billed once, since a
- * batch never changes.
+ * Delivers the billing records of this router to the platform. Records are collected in batches. A batch is copied to a
+ * peer as soon as it is sealed, and is stored by the one router that writes for the failure domain. A batch never
+ * changes once it is sealed, so a batch that is stored twice is billed once.
  */
 internal class BillingController(
     settings: BillingSettings,
@@ -42,22 +42,22 @@
     metrics: RouterMetrics,
 ) : AutoCloseable {
     private val outbox = BillingOutbox(network.self.id, OutboxLimits(records = settings.records))
-    private val copies = HeldCopies(settings.records)
-    private val mostCopies = settings.records
-    private val askedBy = ConcurrentHashMap<BatchName, Member>()
-    private val released = ArrayList<BatchName>()
-    private val asked = HashSet<BatchName>()
-    private val writer = BillingWriter(BillingStore(objects), settings.writeInterval, settings.records, ::stored)
-
-    /** Touched by the duty's thread only. */
+    private val peerCopies = HeldCopies(settings.records)
+    private val maxCopiedRecords = settings.records
+    private val requestersByBatch = ConcurrentHashMap<BatchName, Member>()
+    private val releasedBatches = ArrayList<BatchName>()
+    private val copiesInFlight = HashSet<BatchName>()
+    private val writer = BillingWriter(BillingStore(objects), settings.writeInterval, settings.records, ::onStored)
+
+    /** Only accessed by the thread of [actor]. */
     private var closing = false
-    private val duty = DutyThread.start("billing", RING, TICK, ::tick, ::take)
+    private val actor = DutyThread.start("billing", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::handle)
 
     init {
-        network.handlers.register(HOLD_PATH, ::answerHold)
-        network.handlers.register(STORE_PATH, ::answerStore)
-        network.handlers.register(STORED_PATH, ::answerStored)
-        network.handlers.register(HAND_OVER_PATH, ::answerHandOver)
+        network.handlers.register(HOLD_PATH, ::handleHold)
+        network.handlers.register(STORE_PATH, ::handleStore)
+        network.handlers.register(STORED_PATH, ::handleStored)
+        network.handlers.register(HAND_OVER_PATH, ::handleHandOver)
         metrics.registerGauge(
             "almondhaven_billing_records_held",
             "Billing records that the platform doesn't hold yet.",
@@ -65,85 +65,87 @@
             outbox.held.toDouble()
         }
         metrics.registerGauge("almondhaven_billing_copies_held", "Copies of other routers' billing records.") {
-            copies.records.toDouble()
+            peerCopies.records.toDouble()
         }
         metrics.registerGauge(
             "almondhaven_billing_records_overflowed",
             "Billing records that were lost for want of room.",
         ) {
-            (outbox.overflowed + duty.rejected).toDouble()
+            (outbox.overflowed + actor.rejected).toDouble()
         }
     }
 
-    /** Takes a record; never blocks. */
+    /** Queues [record] for delivery; never blocks. A record that finds the mailbox full is logged and lost. */
     fun offer(record: BillingRecord) {
-        if (!duty.offer(BillingMessage.Ended(record))) overflowed(record)
+        if (!actor.offer(BillingMessage.RecordAdded(record))) logOverflow(record)
     }
 
-    private fun overflowed(record: BillingRecord): Unit =
+    private fun logOverflow(record: BillingRecord): Unit =
         LogEvent.BILLING_OVERFLOWED.log(logger) { "request=${record.request} organisation=${record.organisation}" }
 
-    private fun take(message: BillingMessage) {
+    private fun handle(message: BillingMessage) {
         when (message) {
-            is BillingMessage.Ended -> if (!outbox.add(message.record, clock.nanos())) overflowed(message.record)
-            is BillingMessage.Stored -> stored(message)
-            is BillingMessage.Held -> holdCopies(message.message)
-            is BillingMessage.Copied -> copied(message)
+            is BillingMessage.RecordAdded -> if (!outbox.add(message.record, clock.nanos())) logOverflow(message.record)
+            is BillingMessage.BatchesStored -> markStored(message)
+            is BillingMessage.CopiesChanged -> holdCopies(message.request)
+            is BillingMessage.CopyCompleted -> completeCopy(message)
             BillingMessage.Flush -> flush()
-            is BillingMessage.HandedOver -> message.batches.forEach(::adopt)
-            is BillingMessage.HandOver -> handOver(message)
+            is BillingMessage.HandOverReceived -> message.batches.forEach(::takeOver)
+            is BillingMessage.HandOverRequested -> handOver(message)
         }
     }
 
-    private fun stored(message: BillingMessage.Stored) {
-        message.names.forEach { if (outbox.stored(it)) released += it }
+    private fun markStored(message: BillingMessage.BatchesStored) {
+        message.names.forEach { if (outbox.stored(it)) releasedBatches += it }
         outbox.resendNow(clock.nanos())
     }
 
-    /** Stores everything by this router itself: the router that writes for the failure domain may be stopping too. */
+    /**
+     * Makes this router store all its batches itself, since the router that writes for the failure domain may be
+     * stopping too.
+     */
     private fun flush() {
         closing = true
         seal(force = true)
         outbox.makeAllDue(clock.nanos())
     }
 
-    private fun holdCopies(message: HoldCopiesRequest) {
-        copies.release(message.released)
-        message.batches.forEach { copies.hold(it) }
+    private fun holdCopies(request: HoldCopiesRequest) {
+        peerCopies.release(request.released)
+        request.batches.forEach { peerCopies.hold(it) }
     }
 
     private fun tick() {
         seal(force = false)
         copyToPeer()
-        outbox.due(clock.nanos(), BATCHES_AT_ONCE).forEach(::sendToWriter)
-        val live = live()
-        copies.takeOrphans(live, clock.nanos()).forEach(::adopt)
+        outbox.due(clock.nanos(), BATCHES_PER_MESSAGE).forEach(::sendToWriter)
+        peerCopies.takeOrphans(liveRouters(), clock.nanos()).forEach(::takeOver)
     }
 
-    private fun live(): Set<RouterId> =
+    private fun liveRouters(): Set<RouterId> =
         network.view.members
             .map(Member::id)
             .toSet()
 
-    private fun adopt(batch: SealedBatch) {
+    private fun takeOver(batch: SealedBatch) {
         LogEvent.BILLING_ORPHANS_TAKEN.log(logger) { "batch=${batch.name} records=${batch.records.size}" }
         outbox.adopt(batch, clock.nanos())
     }
 
-    /** Gives a peer what the platform doesn't hold: this router stops, and can't store it any longer. */
-    private fun handOver(message: BillingMessage.HandOver) {
+    /** Hands the batches that the platform doesn't hold over to a peer, since this router is about to stop. */
+    private fun handOver(request: BillingMessage.HandOverRequested) {
         val batches = outbox.unstored()
-        val peer = peerForCopies()
+        val peer = copyPeerOrNull()
         if (peer == null) {
-            message.done.complete(batches.isEmpty())
+            request.done.complete(batches.isEmpty())
             return
         }
-        val parts =
-            batches.chunked(BATCHES_AT_ONCE).map { part ->
-                post(peer, HAND_OVER_PATH, HandOverRequest(part), HandOverRequest.serializer())
+        val requests =
+            batches.chunked(BATCHES_PER_MESSAGE).map { chunk ->
+                post(peer, HAND_OVER_PATH, HandOverRequest(chunk), HandOverRequest.serializer())
             }
-        CompletableFuture.allOf(*parts.toTypedArray()).whenComplete { _, error ->
-            message.done.complete(error == null && parts.all { accepted(it.join()) })
+        CompletableFuture.allOf(*requests.toTypedArray()).whenComplete { _, error ->
+            request.done.complete(error == null && requests.all { isAccepted(it.join()) })
         }
     }
 
@@ -152,25 +154,25 @@
         while (batch != null) batch = outbox.seal(clock.nanos(), System.currentTimeMillis(), force)
     }
 
-    /** Sends a peer copies of what it doesn't hold, and tells it what it need not hold any longer. */
+    /** Sends a peer copies of the batches that no live router holds, and the names of the copies that it may drop. */
     private fun copyToPeer() {
-        val peer = peerForCopies() ?: return
-        val batches = outbox.uncopied(live(), BATCHES_AT_ONCE).filter { asked.add(it.name) }
-        if (batches.isEmpty() && released.size < RELEASED_AT_ONCE) return
-        val message = HoldCopiesRequest(batches, released.toList())
-        released.clear()
-        post(peer, HOLD_PATH, message, HoldCopiesRequest.serializer()).whenComplete { answer, _ ->
-            duty.offer(BillingMessage.Copied(batches.map { it.name }, peer.id.takeIf { accepted(answer) }))
+        val peer = copyPeerOrNull() ?: return
+        val batches = outbox.uncopied(liveRouters(), BATCHES_PER_MESSAGE).filter { copiesInFlight.add(it.name) }
+        if (batches.isEmpty() && releasedBatches.size < RELEASES_PER_MESSAGE) return
+        val request = HoldCopiesRequest(batches, releasedBatches.toList())
+        releasedBatches.clear()
+        post(peer, HOLD_PATH, request, HoldCopiesRequest.serializer()).whenComplete { response, _ ->
+            actor.offer(BillingMessage.CopyCompleted(batches.map { it.name }, peer.id.takeIf { isAccepted(response) }))
         }
     }
 
-    private fun peerForCopies(): Member? {
+    private fun copyPeerOrNull(): Member? {
         val others = network.view.members.filter { it.id != network.self.id }
         return RendezvousHash.choose("billing-copies/${network.self.id}", others, 1) { it.id.value }.firstOrNull()
     }
 
-    private fun copied(message: BillingMessage.Copied) {
-        asked -= message.names.toSet()
+    private fun completeCopy(message: BillingMessage.CopyCompleted) {
+        copiesInFlight -= message.names.toSet()
         message.holder?.let { holder -> message.names.forEach { outbox.copied(it, holder) } }
     }
 
@@ -184,13 +186,13 @@
         }
     }
 
-    /** Runs on the writer's thread. */
-    private fun stored(names: List<BatchName>) {
-        duty.offer(BillingMessage.Stored(names))
-        duty.offer(BillingMessage.Held(HoldCopiesRequest(released = names)))
-        val byAsker = names.mapNotNull { name -> askedBy.remove(name)?.let { it to name } }
-        byAsker.groupBy({ it.first }, { it.second }).forEach { (asker, theirs) ->
-            post(asker, STORED_PATH, BatchesStoredNotice(theirs), BatchesStoredNotice.serializer())
+    /** Notifies the routers that requested the storage of [names]; runs on the writer's thread. */
+    private fun onStored(names: List<BatchName>) {
+        actor.offer(BillingMessage.BatchesStored(names))
+        actor.offer(BillingMessage.CopiesChanged(HoldCopiesRequest(released = names)))
+        val byRequester = names.mapNotNull { name -> requestersByBatch.remove(name)?.let { it to name } }
+        byRequester.groupBy({ it.first }, { it.second }).forEach { (requester, requested) ->
+            post(requester, STORED_PATH, BatchesStoredNotice(requested), BatchesStoredNotice.serializer())
         }
     }
 
@@ -202,75 +204,75 @@
     ): CompletableFuture<Either<PeerError, String>> =
         network.transport.post(to, path, PeerProtocol.json.encodeToString(serializer, message))
 
-    private fun accepted(answer: Either<PeerError, String>?): Boolean {
-        val text = answer?.getOrNull() ?: return false
+    private fun isAccepted(response: Either<PeerError, String>?): Boolean {
+        val text = response?.getOrNull() ?: return false
         return PeerProtocol.json.decodeFromString(BillingAcknowledgement.serializer(), text).accepted
     }
 
-    private fun answerHold(body: String): String {
+    private fun handleHold(body: String): String {
         val message = PeerProtocol.json.decodeFromString(HoldCopiesRequest.serializer(), body)
-        val room = copies.records + message.batches.sumOf { it.records.size } <= mostCopies
-        return accepted(room && duty.offer(BillingMessage.Held(message)))
+        val hasRoom = peerCopies.records + message.batches.sumOf { it.records.size } <= maxCopiedRecords
+        return acknowledgement(hasRoom && actor.offer(BillingMessage.CopiesChanged(message)))
     }
 
-    private fun answerStore(body: String): String {
+    private fun handleStore(body: String): String {
         val message = PeerProtocol.json.decodeFromString(StoreBatchRequest.serializer(), body)
-        // An asker that is forgotten sends its batch again.
-        if (askedBy.size > MOST_ASKERS) askedBy.clear()
-        askedBy[message.batch.name] = message.from
-        val taken = writer.offer(message.batch)
-        if (!taken) askedBy.remove(message.batch.name)
-        return accepted(taken)
+        // A requester that is forgotten sends its batch again.
+        if (requestersByBatch.size > MAX_REQUESTERS) requestersByBatch.clear()
+        requestersByBatch[message.batch.name] = message.from
+        val accepted = writer.offer(message.batch)
+        if (!accepted) requestersByBatch.remove(message.batch.name)
+        return acknowledgement(accepted)
     }
 
-    private fun answerStored(body: String): String {
+    private fun handleStored(body: String): String {
         val message = PeerProtocol.json.decodeFromString(BatchesStoredNotice.serializer(), body)
-        return accepted(duty.offer(BillingMessage.Stored(message.names)))
+        return acknowledgement(actor.offer(BillingMessage.BatchesStored(message.names)))
     }
 
-    private fun answerHandOver(body: String): String {
+    private fun handleHandOver(body: String): String {
         val message = PeerProtocol.json.decodeFromString(HandOverRequest.serializer(), body)
-        return accepted(duty.offer(BillingMessage.HandedOver(message.batches)))
+        return acknowledgement(actor.offer(BillingMessage.HandOverReceived(message.batches)))
     }
 
-    private fun accepted(taken: Boolean): String =
-        PeerProtocol.json.encodeToString(BillingAcknowledgement.serializer(), BillingAcknowledgement(taken))
+    private fun acknowledgement(accepted: Boolean): String =
+        PeerProtocol.json.encodeToString(BillingAcknowledgement.serializer(), BillingAcknowledgement(accepted))
 
-    /** Seals what is open, waits a while for the platform to hold everything, and hands a peer what is left. */
+    /** Seals the open records, waits up to [CLOSE_TIMEOUT] until all are stored, and hands the rest over to a peer. */
     override fun close() {
-        duty.offer(BillingMessage.Flush)
-        val end = clock.nanos() + CLOSE_PATIENCE.inWholeNanoseconds
+        actor.offer(BillingMessage.Flush)
+        val closeDeadline = clock.nanos() + CLOSE_TIMEOUT.inWholeNanoseconds
         do {
-            TimeUnit.MILLISECONDS.sleep(TICK.inWholeMilliseconds)
-        } while (unsettled() && clock.nanos() - end < 0)
-        if (outbox.held > 0) leave()
-        duty.stop()
+            TimeUnit.MILLISECONDS.sleep(TICK_INTERVAL.inWholeMilliseconds)
+        } while (hasPendingRecords() && clock.nanos() - closeDeadline < 0)
+        if (outbox.held > 0) handOverRemaining()
+        actor.stop()
         writer.close()
     }
 
-    private fun leave() {
+    private fun handOverRemaining() {
         val records = outbox.held
         val done = CompletableFuture<Boolean>()
-        duty.offer(BillingMessage.HandOver(done))
-        val taken = done.completeOnTimeout(false, HAND_OVER_PATIENCE.inWholeMilliseconds, TimeUnit.MILLISECONDS).join()
+        actor.offer(BillingMessage.HandOverRequested(done))
+        val taken = done.completeOnTimeout(false, HAND_OVER_TIMEOUT.inWholeMilliseconds, TimeUnit.MILLISECONDS).join()
         LogEvent.BILLING_LEFT_UNSTORED.log(logger) { "records=$records takenByPeer=$taken" }
     }
 
-    private fun unsettled(): Boolean = outbox.held > 0 || duty.waiting > 0 || writer.unwritten > 0
+    private fun hasPendingRecords(): Boolean = outbox.held > 0 || actor.waiting > 0 || writer.unwritten > 0
 
     private companion object {
         const val HOLD_PATH = "billing/hold"
         const val STORE_PATH = "billing/store"
         const val STORED_PATH = "billing/stored"
         const val HAND_OVER_PATH = "billing/hand-over"
-        const val RING = 16_384
-        const val BATCHES_AT_ONCE = 64
-        const val RELEASED_AT_ONCE = 16
-        const val MOST_ASKERS = 20_000
-        val TICK = 50.milliseconds
-        val CLOSE_PATIENCE = 3_000.milliseconds
-
-        /** A peer takes batches into memory; its answer takes a few round trips at most. */
-        val HAND_OVER_PATIENCE = 1_000.milliseconds
+        const val MAILBOX_CAPACITY = 16_384
+        const val BATCHES_PER_MESSAGE = 64
+        const val RELEASES_PER_MESSAGE = 16
+        const val MAX_REQUESTERS = 20_000
+        val TICK_INTERVAL = 50.milliseconds
+        val CLOSE_TIMEOUT = 3_000.milliseconds
+
+        /** A peer only keeps the batches in memory, so it responds within a few round trips. */
+        val HAND_OVER_TIMEOUT = 1_000.milliseconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingMessages.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingMessages.kt
@@ -8,68 +8,71 @@
 import kotlinx.serialization.Serializable
 import java.util.concurrent.CompletableFuture
 
-/** Asks a peer to hold copies of [batches] until they are released, and to drop those in [released]. */
+/** Asks a peer to hold copies of [batches] until they are released, and to drop its copies of [released]. */
 @Serializable
 internal data class HoldCopiesRequest(
     val batches: List<SealedBatch> = emptyList(),
     val released: List<BatchName> = emptyList(),
 )
 
-/** Asks a writer to store [batch] and to tell [from] when it has. */
+/** Asks the writer of a failure domain to store [batch], and to notify [from] once it is stored. */
 @Serializable
 internal data class StoreBatchRequest(
     val from: Member,
     val batch: SealedBatch,
 )
 
-/** Says that the platform holds the batches [names]. */
+/** Notifies a router that the batches with [names] are stored on the platform. */
 @Serializable
 internal data class BatchesStoredNotice(
     val names: List<BatchName>,
 )
 
-/** Makes a peer answerable for storing [batches] from now on. */
+/** Transfers the responsibility for storing [batches] to a peer. */
 @Serializable
 internal data class HandOverRequest(
     val batches: List<SealedBatch>,
 )
 
-/** Says whether a message was taken. */
+/** Acknowledges a message; [accepted] is false if the receiver had no room for it. */
 @Serializable
 internal data class BillingAcknowledgement(
     val accepted: Boolean,
 )
 
-/** What the billing duty thread is told. */
+/** A message in the mailbox of the [BillingController]. */
 internal sealed interface BillingMessage {
-    data class Ended(
+    /** Adds the record of a request that has ended. */
+    data class RecordAdded(
         val record: BillingRecord,
     ) : BillingMessage
 
-    data class Held(
-        val message: HoldCopiesRequest,
+    /** Copies to hold, and copies to drop because a peer released them or this router has stored them. */
+    data class CopiesChanged(
+        val request: HoldCopiesRequest,
     ) : BillingMessage
 
-    data class Stored(
+    /** The batches with [names] are stored on the platform. */
+    data class BatchesStored(
         val names: List<BatchName>,
     ) : BillingMessage
 
-    /** [holder] has copies of the batches [names]; null if it didn't take them. */
-    data class Copied(
+    /** A request to copy the batches with [names] has completed; [holder] is null if the peer didn't accept them. */
+    data class CopyCompleted(
         val names: List<BatchName>,
         val holder: RouterId?,
     ) : BillingMessage
 
-    /** Seal what is open at once. */
+    /** Seals the open records immediately, since this router is closing. */
     data object Flush : BillingMessage
 
-    /** A router that stops has made this one answerable for [batches]. */
-    data class HandedOver(
+    /** A stopping router has transferred the responsibility for [batches] to this one. */
+    data class HandOverReceived(
         val batches: List<SealedBatch>,
     ) : BillingMessage
 
-    /** Make a peer answerable for what isn't stored; [done] tells whether it took everything. */
-    class HandOver(
+    /** Hands all unstored batches over to a peer; [done] is completed with whether it accepted all of them. */
+    class HandOverRequested(
         val done: CompletableFuture<Boolean>,
     ) : BillingMessage
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingRecorder.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingRecorder.kt
@@ -10,37 +10,37 @@
 import dev.almondhaven.router.filter.Usage
 import kotlin.math.roundToLong
 
-/** Makes the billing record of a request at its end, if any of it was dispatched. */
+/** Creates the billing record of each request when it ends, if any attempt of it was dispatched. */
 internal class BillingRecorder(
-    private val holder: CatalogueHolder,
-    private val offer: (BillingRecord) -> Unit,
+    private val catalogueHolder: CatalogueHolder,
+    private val onRecord: (BillingRecord) -> Unit,
     private val wallMillis: () -> Long = System::currentTimeMillis,
 ) {
-    /** Bills [exchange] when it has ended. */
-    fun attach(exchange: Exchange): Unit = exchange.journal.whenEnded { recordOf(exchange)?.let(offer) }
+    /** Registers [exchange] to be billed when it ends. */
+    fun attach(exchange: Exchange): Unit = exchange.journal.whenEnded { createRecordOrNull(exchange)?.let(onRecord) }
 
-    private fun recordOf(exchange: Exchange): BillingRecord? {
+    private fun createRecordOrNull(exchange: Exchange): BillingRecord? {
         val journal = exchange.journal
         val organisation = journal.organisation ?: return null
         if (!journal.dispatched) return null
-        val served = RequestStep(journal.servedVersion, journal.servedEndpoint, journal.usage)
-        val steps = journal.discardedSteps + served
+        val servedStep = RequestStep(journal.servedVersion, journal.servedEndpoint, journal.usage)
+        val steps = journal.discardedSteps + servedStep
         return BillingRecord(
             exchange.requestId,
             organisation,
             endedAt = wallMillis(),
             version = journal.servedVersion,
-            service = serviceOf(exchange),
+            service = serviceOrNull(exchange),
             promptTokens = steps.sumOf { it.usage?.promptTokens ?: 0 },
             completionTokens = steps.sumOf { it.usage?.completionTokens ?: 0 },
-            costMicros = steps.sumOf { cost(it.version?.let(::priceOf), it.usage) },
+            costMicros = steps.sumOf { costMicros(it.version?.let(::priceOrNull), it.usage) },
             resultCode = journal.refusal?.code?.number ?: 0,
         )
     }
 
-    private fun priceOf(version: ModelVersionId): Price? = holder.index.version(version)?.price
+    private fun priceOrNull(version: ModelVersionId): Price? = catalogueHolder.index.version(version)?.price
 
-    private fun serviceOf(exchange: Exchange): ServiceId? {
+    private fun serviceOrNull(exchange: Exchange): ServiceId? {
         if (!exchange.path.startsWith(SERVICE_PREFIX)) return null
         return ServiceId(
             exchange.path
@@ -50,7 +50,7 @@
         )
     }
 
-    private fun cost(
+    private fun costMicros(
         price: Price?,
         usage: Usage?,
     ): Long =
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingWriter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingWriter.kt
@@ -13,71 +13,75 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Stores the batches of several routers in few objects. A set of batches that was once written together stays together
- * until it is settled, so that a repeated write bears the same name and has no effect.
+ * Stores the batches of several routers in as few objects as possible. The batches of a failed write stay together until
+ * a write succeeds: the object name is derived from the batches, so a retry uses the same name and has no effect if the
+ * first write did succeed.
  */
 internal class BillingWriter(
     private val store: BillingStore,
     writeInterval: Duration,
-    private val mostRecords: Int,
+    private val maxRecords: Int,
     private val onStored: (List<BatchName>) -> Unit,
 ) : AutoCloseable {
-    private val waiting = LinkedHashMap<BatchName, SealedBatch>()
-    private var underWay: List<SealedBatch> = emptyList()
-    private var waitingRecords = 0
+    private val queuedBatches = LinkedHashMap<BatchName, SealedBatch>()
+    private var writingBatches: List<SealedBatch> = emptyList()
+    private var queuedRecords = 0
 
     @Volatile
     private var unwrittenBatches = 0
-    private val duty = DutyThread.start("billing-store", RING, writeInterval, ::write, ::take)
+    private val actor = DutyThread.start("billing-store", MAILBOX_CAPACITY, writeInterval, ::write, ::accept)
 
-    /** Stores [batch] some time; false if it was not taken. */
-    fun offer(batch: SealedBatch): Boolean = duty.offer(batch)
+    /** Queues [batch] to be stored; false if the mailbox is full. */
+    fun offer(batch: SealedBatch): Boolean = actor.offer(batch)
 
-    /** Batches that were taken and are not stored yet. */
-    val unwritten: Int get() = unwrittenBatches + duty.waiting
+    /** Number of accepted batches that are not stored yet. */
+    val unwritten: Int get() = unwrittenBatches + actor.waiting
 
-    /** Writes what was taken before it ends, other routers' batches too: they may stop before they ask again. */
+    /**
+     * Writes all accepted batches before it stops. That includes those of other routers, which may stop before they send
+     * their batches again.
+     */
     override fun close() {
-        duty.stop()
+        actor.stop()
         do {
             write()
-        } while (waiting.isNotEmpty() && underWay.isEmpty())
+        } while (queuedBatches.isNotEmpty() && writingBatches.isEmpty())
     }
 
-    private fun take(batch: SealedBatch) {
-        if (waitingRecords + batch.records.size > mostRecords) return
-        if (waiting.putIfAbsent(batch.name, batch) == null) waitingRecords += batch.records.size
-        unwrittenBatches = waiting.size
+    private fun accept(batch: SealedBatch) {
+        if (queuedRecords + batch.records.size > maxRecords) return
+        if (queuedBatches.putIfAbsent(batch.name, batch) == null) queuedRecords += batch.records.size
+        unwrittenBatches = queuedBatches.size
     }
 
     private fun write() {
-        if (underWay.isEmpty()) underWay = nextObject()
-        if (underWay.isEmpty()) return
-        val error = store.store(BillingObject(underWay)).leftOrNull()
-        if (error != null) return failed(error)
-        underWay.forEach { waiting.remove(it.name) }
-        waitingRecords -= underWay.sumOf { it.records.size }
-        unwrittenBatches = waiting.size
-        onStored(underWay.map { it.name })
-        underWay = emptyList()
+        if (writingBatches.isEmpty()) writingBatches = nextObjectBatches()
+        if (writingBatches.isEmpty()) return
+        val error = store.store(BillingObject(writingBatches)).leftOrNull()
+        if (error != null) return logFailure(error)
+        writingBatches.forEach { queuedBatches.remove(it.name) }
+        queuedRecords -= writingBatches.sumOf { it.records.size }
+        unwrittenBatches = queuedBatches.size
+        onStored(writingBatches.map { it.name })
+        writingBatches = emptyList()
     }
 
-    private fun nextObject(): List<SealedBatch> {
+    private fun nextObjectBatches(): List<SealedBatch> {
         var records = 0
-        return waiting.values.takeWhile { batch ->
+        return queuedBatches.values.takeWhile { batch ->
             records += batch.records.size
-            records <= OBJECT_RECORDS
+            records <= MAX_RECORDS_PER_OBJECT
         }
     }
 
-    private fun failed(error: PlatformError) {
-        LogEvent.BILLING_WRITE_FAILED.log(logger) { "batches=${underWay.size} error=$error" }
+    private fun logFailure(error: PlatformError) {
+        LogEvent.BILLING_WRITE_FAILED.log(logger) { "batches=${writingBatches.size} error=$error" }
     }
 
     private companion object {
-        const val RING = 4_096
+        const val MAILBOX_CAPACITY = 4_096
 
-        /** Records of at most 220 bytes each stay below the platform's limit of 1 MB. */
-        const val OBJECT_RECORDS = 4_000
+        /** A record takes at most 220 bytes, so an object stays below the platform's limit of 1 MB. */
+        const val MAX_RECORDS_PER_OBJECT = 4_000
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
@@ -21,7 +21,7 @@
     private val view: () -> FleetView,
     private val wallMillis: () -> Long,
 ) : AutoCloseable {
-    private val duty = DutyThread.start<Unit>("claims-sweep", MAILBOX_CAPACITY, INTERVAL, ::sweepIfAssigned) { }
+    private val actor = DutyThread.start<Unit>("claims-sweep", MAILBOX_CAPACITY, INTERVAL, ::sweepIfAssigned) { }
 
     private fun sweepIfAssigned() {
         val minute = wallMillis() / INTERVAL.inWholeMilliseconds
@@ -43,7 +43,7 @@
         return deleted
     }
 
-    override fun close(): Unit = duty.stop()
+    override fun close(): Unit = actor.stop()
 
     private companion object {
         const val MAILBOX_CAPACITY = 2
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
@@ -53,7 +53,7 @@
         val submission = Submission(shard, operation, CompletableFuture())
         unsettledCount.incrementAndGet()
         submission.verdict.whenComplete { _, _ -> unsettledCount.decrementAndGet() }
-        if (!workers[shard.hashCode().mod(WORKER_COUNT)].duty.offer(submission)) reject(submission)
+        if (!workers[shard.hashCode().mod(WORKER_COUNT)].actor.offer(submission)) reject(submission)
         return submission.verdict
     }
 
@@ -69,7 +69,7 @@
         while (unsettledCount.get() > 0 && clock.nanos() - closeDeadline < 0) {
             TimeUnit.MILLISECONDS.sleep(TICK_INTERVAL.inWholeMilliseconds)
         }
-        workers.forEach { it.duty.stop() }
+        workers.forEach { it.actor.stop() }
     }
 
     private class Submission(
@@ -82,7 +82,7 @@
         index: Int,
     ) {
         private val shards = HashMap<ClaimShard, ActiveShard>()
-        val duty: DutyThread<Submission> =
+        val actor: DutyThread<Submission> =
             DutyThread.start("claims-$index", MAILBOX_CAPACITY, TICK_INTERVAL, ::advanceAll, ::accept)
 
         private fun accept(submission: Submission) {
@@ -90,7 +90,7 @@
             if (!shard.writer.submit(submission.operation, submission.verdict, clock.nanos())) reject(submission)
             shard.lastUsedAt = clock.nanos()
             // Operations that are still queued may share the next write.
-            if (duty.waiting == 0) advanceAll()
+            if (actor.waiting == 0) advanceAll()
         }
 
         private fun advanceAll() {
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
@@ -40,28 +40,28 @@
     private val gossip = GossipExchange(membership, configurationHolder, freshness, network.topics)
     private val vmListPoller = settings.vmList?.let { VmListPoller(it) }
     private var published: FleetView = FleetView.alone(network.self)
-    private val duty: DutyThread<PeerTask>
+    private val actor: DutyThread<PeerTask>
 
     init {
         membership.lookAt(settings.seeds)
-        duty = DutyThread.start("peers", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::runTask)
+        actor = DutyThread.start("peers", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::runTask)
         network.handlers.register(GossipExchange.PROBE, ::handleProbe)
         network.handlers.register(GossipExchange.INDIRECT_PROBE, ::handleIndirectProbe)
         network.handlers.register(GossipExchange.FETCH) { gossip.answerFetch(it) }
     }
 
     /** Number of tasks that were rejected because the mailbox was full. */
-    val rejected: Long get() = duty.rejected
+    val rejected: Long get() = actor.rejected
 
     private fun handleProbe(body: String): String {
         val response = CompletableFuture<String>()
-        require(duty.offer(PeerTask.AnswerProbe(body, response))) { "the router has too many queued peer messages" }
+        require(actor.offer(PeerTask.AnswerProbe(body, response))) { "the router has too many queued peer messages" }
         return await(response)
     }
 
     private fun handleIndirectProbe(body: String): String {
         val reached = CompletableFuture<Boolean>()
-        require(duty.offer(PeerTask.RelayProbe(body, reached))) { "the router has too many queued peer messages" }
+        require(actor.offer(PeerTask.RelayProbe(body, reached))) { "the router has too many queued peer messages" }
         return GossipExchange.indirectAnswer(await(reached))
     }
 
@@ -116,7 +116,7 @@
 
     private fun post(request: PeerRequest) =
         network.transport.post(request.to, request.path, request.body).whenComplete { result, _ ->
-            if (result != null) duty.offer(PeerTask.CompleteRequest(request, result))
+            if (result != null) actor.offer(PeerTask.CompleteRequest(request, result))
         }
 
     private fun publish() {
@@ -146,10 +146,10 @@
     /** Notifies a few other routers that this one leaves, and stops the thread. */
     override fun close() {
         val notified = CompletableFuture<Unit>()
-        if (duty.offer(PeerTask.Leave(notified))) {
+        if (actor.offer(PeerTask.Leave(notified))) {
             runCatching { notified.get(HANDLING_TIMEOUT.inWholeMilliseconds, TimeUnit.MILLISECONDS) }
         }
-        duty.stop()
+        actor.stop()
         vmListPoller?.close()
     }
 
--- a/router/src/test/kotlin/dev/almondhaven/router/billing/BillingHandOverTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/billing/BillingHandOverTest.kt
@@ -28,8 +28,8 @@
 class BillingHandOverTest {
     private val request = """{"model":"auto","messages":[{"role":"user","content":"hi"}],"max_tokens":3}"""
 
-    /** A platform that takes no bills. */
-    private class WithoutBilling(
+    /** An object store that rejects writes of billing records. */
+    private class BillingRejectingObjectStore(
         private val objects: ObjectStore,
     ) : ObjectStore by objects {
         override fun put(
@@ -38,13 +38,13 @@
             condition: WriteCondition,
         ): Either<PlatformError, ObjectVersion> =
             if (key.value.startsWith("billing/")) {
-                PlatformError.NotSent("cut off").left()
+                PlatformError.NotSent("billing writes are rejected").left()
             } else {
                 objects.put(key, value, condition)
             }
     }
 
-    private fun peers(seeds: List<String> = emptyList()) =
+    private fun peerSettings(seeds: List<String> = emptyList()) =
         PeerSettings(
             "127.0.0.1:0",
             listOf(PeerKey("0123456789abcdef")),
@@ -54,34 +54,35 @@
             300.milliseconds,
         )
 
-    private fun neighbour(deployment: TestDeployment): Router {
+    private fun startPeer(deployment: TestDeployment): Router {
         val settings =
             RouterSettings(
                 ProcessSettings(FailureDomainId("east"), "127.0.0.1:0"),
                 PlatformSettings("http://127.0.0.1:1"),
-                peers = peers(listOf(deployment.router.self.peerAddress)),
+                peers = peerSettings(listOf(deployment.router.self.peerAddress)),
             )
         return Router.start(settings, deployment.objects)
     }
 
     private fun awaitTwoMembers(deployment: TestDeployment) {
-        repeat(PATIENCE_STEPS) {
+        repeat(MAX_POLLS) {
             if ("almondhaven_peer_members 2.0" in deployment.get("/metrics").contentUtf8()) return
-            TimeUnit.MILLISECONDS.sleep(STEP_MILLIS)
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS)
         }
-        error("the routers did not find each other")
+        error("the routers did not discover each other")
     }
 
     @Nested
-    inner class `a router that stops while the platform takes no bills` {
+    inner class `a router that stops while the platform rejects billing writes` {
         @Test
-        fun `makes a peer answerable for them, which stores them at its own stop at the latest`() {
-            val deployment = TestDeployment(peerSettings = peers(), wrapObjects = ::WithoutBilling).publish()
-            val neighbour = neighbour(deployment)
+        fun `hands its records over to a peer, which stores them when it stops at the latest`() {
+            val deployment =
+                TestDeployment(peerSettings = peerSettings(), wrapObjects = ::BillingRejectingObjectStore).publish()
+            val peer = startPeer(deployment)
             awaitTwoMembers(deployment)
             repeat(3) { deployment.send(request) }
             deployment.close()
-            neighbour.close()
+            peer.close()
             val objects = BillingStore(deployment.objects).readAll().getOrNull().orEmpty()
 
             expectThat(BillingStatement.of(objects.asSequence()).records.map { it.organisation })
@@ -90,7 +91,7 @@
     }
 
     private companion object {
-        const val PATIENCE_STEPS = 1_000
-        const val STEP_MILLIS = 10L
+        const val MAX_POLLS = 1_000
+        const val POLL_INTERVAL_MILLIS = 10L
     }
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/billing/BillingShutdownTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/billing/BillingShutdownTest.kt
@@ -16,7 +16,7 @@
     @Nested
     inner class `a router that stops` {
         @Test
-        fun `has left one record for each dispatched request with the platform`() {
+        fun `has stored one record for each dispatched request on the platform`() {
             val deployment = TestDeployment().publish()
             deployment.use {
                 repeat(3) { deployment.send(request) }
--- a/router/src/test/kotlin/dev/almondhaven/router/billing/BillingWriterTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/billing/BillingWriterTest.kt
@@ -19,9 +19,9 @@
     @Nested
     inner class `a writer that is closed between two writes` {
         @Test
-        fun `stores the batches it has taken from other routers`() {
+        fun `stores the batches that it has accepted from other routers`() {
             val firstWrite = CountDownLatch(1)
-            val writer = BillingWriter(store, writeInterval = 1.seconds, mostRecords = 1_000) { firstWrite.countDown() }
+            val writer = BillingWriter(store, writeInterval = 1.seconds, maxRecords = 1_000) { firstWrite.countDown() }
             writer.offer(batches.first())
             firstWrite.await()
             batches.drop(1).forEach(writer::offer)
