--- a/router/src/main/kotlin/dev/almondhaven/router/Router.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/Router.kt
@@ -42,7 +42,7 @@
 import dev.almondhaven.router.session.SessionModule
 import dev.almondhaven.router.settings.PeerSettings
 import dev.almondhaven.router.settings.RouterSettings
-import dev.almondhaven.router.settings.socketAddress
+import dev.almondhaven.router.settings.parseSocketAddress
 import dev.almondhaven.store.HttpObjectStore
 import dev.almondhaven.store.ObjectStore
 import io.github.oshai.kotlinlogging.KotlinLogging
@@ -186,7 +186,7 @@
     private fun buildServer(): Server =
         Server
             .builder()
-            .http(socketAddress(settings.process.listen))
+            .http(parseSocketAddress(settings.process.listen))
             .workerGroup(workers, false)
             .requestTimeoutMillis(0)
             .errorHandler(CallerErrorHandler)
--- a/router/src/main/kotlin/dev/almondhaven/router/order/EngineClient.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/EngineClient.kt
@@ -14,33 +14,35 @@
 import java.util.concurrent.CompletableFuture
 import kotlin.time.Duration
 
-/** Reads what engines report and gives them orders. */
+/** HTTP client that reads the reports of engines and sends them orders. */
 internal class EngineClient(
     private val timeout: Duration,
 ) : AutoCloseable {
     private val factory = ClientFactory.builder().connectTimeoutMillis(timeout.inWholeMilliseconds).build()
 
-    /** What [endpoint] reports, or null when it doesn't. */
-    fun report(endpoint: Endpoint): CompletableFuture<EngineReport?> =
-        client(endpoint).get(PATH).aggregate().handle { response, _ -> response?.let { read(it) } }
+    /** Requests the report of [endpoint]; null if there is no valid response. */
+    fun fetchReport(endpoint: Endpoint): CompletableFuture<EngineReport?> =
+        clientFor(endpoint).get(DESIRED_STATE_PATH).aggregate().handle { response, _ ->
+            response?.let { parseReportOrNull(it) }
+        }
 
-    /** Gives [order] to [endpoint]; the result is the answer's status, or null when there was none. */
-    fun order(
+    /** Sends [order] to [endpoint]; returns the HTTP status of the response, or null if there is none. */
+    fun sendOrder(
         endpoint: Endpoint,
         order: EngineOrder,
     ): CompletableFuture<HttpStatus?> {
-        val headers = RequestHeaders.builder(HttpMethod.PUT, PATH).contentType(MediaType.JSON).build()
+        val headers = RequestHeaders.builder(HttpMethod.PUT, DESIRED_STATE_PATH).contentType(MediaType.JSON).build()
         val body = PeerProtocol.json.encodeToString(EngineOrder.serializer(), order)
-        return client(endpoint).execute(headers, body).aggregate().handle { response, _ -> response?.status() }
+        return clientFor(endpoint).execute(headers, body).aggregate().handle { response, _ -> response?.status() }
     }
 
-    private fun read(response: AggregatedHttpResponse): EngineReport? {
+    private fun parseReportOrNull(response: AggregatedHttpResponse): EngineReport? {
         if (response.status() != HttpStatus.OK) return null
         val text = response.contentUtf8()
         return runCatching { PeerProtocol.json.decodeFromString(EngineReport.serializer(), text) }.getOrNull()
     }
 
-    private fun client(endpoint: Endpoint): WebClient =
+    private fun clientFor(endpoint: Endpoint): WebClient =
         WebClient
             .builder("h1c://${endpoint.address}")
             .factory(factory)
@@ -52,6 +54,6 @@
     }
 
     private companion object {
-        const val PATH = "/engine/desired-state"
+        const val DESIRED_STATE_PATH = "/engine/desired-state"
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
@@ -26,120 +26,124 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * The duty that orders engines to load and unload versions as the release notes say. The engines of one failure domain
- * have one lease, which a router of that domain holds; a router without the lease gives no order.
+ * Reconciles the versions that engines have loaded with those that the release notes assign to them. Each failure domain
+ * has one lease, normally held by a router of that domain; only the holder of the lease sends orders to the engines of
+ * the domain.
  */
 internal class EngineOrderController(
     private val settings: EngineOrderSettings,
-    private val holder: CatalogueHolder,
+    private val catalogueHolder: CatalogueHolder,
     private val view: FleetView,
     private val objects: ObjectStore,
     private val clock: NanoClock,
     private val leaseSettings: LeaseSettings = LeaseSettings(longestOrder = settings.callTimeout),
 ) : AutoCloseable {
     private val client = EngineClient(settings.callTimeout)
-    private val groups = HashMap<FailureDomainId, Group>()
+    private val groupsByDomain = HashMap<FailureDomainId, EngineGroup>()
 
     @Volatile
-    private var duty: DutyThread<Unit>? = null
+    private var actor: DutyThread<Unit>? = null
 
-    private class Group(
+    private class EngineGroup(
         val lease: ObjectStoreLease,
     ) {
-        var fencing: Long? = null
+        var fencingToken: Long? = null
         var nextLoadAt = 0L
     }
 
-    /** Starts the duty if the settings say so. */
+    /** Starts the reconciliation if the settings enable it. */
     fun start() {
         if (!settings.enabled) return
-        duty = DutyThread.start("engine-orders", RING, settings.interval, onTick = ::tick) { tick() }
+        actor = DutyThread.start("engine-orders", MAILBOX_CAPACITY, settings.interval, onTick = ::tick) { tick() }
     }
 
     private fun tick() {
-        val catalogue = holder.catalogue
+        val catalogue = catalogueHolder.catalogue
         val engines = catalogue.endpoints.filter { it.service == null }.groupBy { it.failureDomain }
-        engines.forEach { (domain, endpoints) -> tend(catalogue, domain, endpoints, groupCount = engines.size) }
+        engines.forEach { (domain, endpoints) -> reconcile(catalogue, domain, endpoints, groupCount = engines.size) }
     }
 
-    private fun tend(
+    private fun reconcile(
         catalogue: Catalogue,
         domain: FailureDomainId,
         endpoints: List<Endpoint>,
         groupCount: Int,
     ) {
-        val group = groups.getOrPut(domain) { Group(newLease(domain)) }
-        group.lease.keep(wanted = isChosen(domain))
-        val fencing = group.lease.fencing()
+        val group = groupsByDomain.getOrPut(domain) { EngineGroup(newLease(domain)) }
+        group.lease.advance(wanted = isPreferredHolder(domain))
+        val fencingToken = group.lease.fencingTokenOrNull()
         val loadSpacing = 1.minutes / settings.loadsPerMinute * groupCount
-        if (fencing != group.fencing) {
-            noteHolding(domain, fencing)
-            group.fencing = fencing
+        if (fencingToken != group.fencingToken) {
+            logLeaseChange(domain, fencingToken)
+            group.fencingToken = fencingToken
             group.nextLoadAt = clock.nanos() + loadSpacing.inWholeNanoseconds
         }
-        if (fencing == null) return
-        val loads = if (clock.nanos() >= group.nextLoadAt) 1 else 0
-        val orders = EngineOrderPlan(catalogue, reports(catalogue, endpoints)).orders(endpoints, loads)
-        orders.forEach { give(group, it, loadSpacing) }
+        if (fencingToken == null) return
+        val allowedLoads = if (clock.nanos() >= group.nextLoadAt) 1 else 0
+        val orders = EngineOrderPlan(catalogue, fetchReports(catalogue, endpoints)).orders(endpoints, allowedLoads)
+        orders.forEach { send(group, it, loadSpacing) }
     }
 
-    private fun isChosen(domain: FailureDomainId): Boolean {
+    private fun isPreferredHolder(domain: FailureDomainId): Boolean {
         val candidates = view.membersOf(domain).ifEmpty { view.members }
-        return RendezvousHash.choose(key(domain), candidates, count = 1) { it.id.value }.firstOrNull() == view.self
+        return RendezvousHash.choose(leaseKey(domain), candidates, count = 1) { it.id.value }.firstOrNull() == view.self
     }
 
-    /** Reports of [endpoints], and of those elsewhere that may replace what these are to unload. */
-    private fun reports(
+    /**
+     * Fetches the reports of [endpoints], and of those endpoints elsewhere that may take over versions that [endpoints]
+     * have to unload.
+     */
+    private fun fetchReports(
         catalogue: Catalogue,
         endpoints: List<Endpoint>,
     ): Map<EndpointId, EngineReport> {
-        val own = ask(endpoints)
+        val own = fetchReports(endpoints)
         val unwanted = endpoints.flatMap { own[it.id]?.desired.orEmpty() - it.versions.toSet() }.toSet()
         val elsewhere = catalogue.endpoints.filter { it !in endpoints && it.versions.any(unwanted::contains) }
-        return own + ask(elsewhere)
+        return own + fetchReports(elsewhere)
     }
 
-    private fun ask(endpoints: List<Endpoint>): Map<EndpointId, EngineReport> {
-        val answers = endpoints.map { it.id to client.report(it) }
+    private fun fetchReports(endpoints: List<Endpoint>): Map<EndpointId, EngineReport> {
+        val pendingReports = endpoints.map { it.id to client.fetchReport(it) }
         return buildMap {
-            answers.forEach { (id, answer) -> answer.join()?.let { put(id, it) } }
+            pendingReports.forEach { (id, report) -> report.join()?.let { put(id, it) } }
         }
     }
 
-    /** Looks at the lease again right before each order, because reports may have taken long to come. */
-    private fun give(
-        group: Group,
+    /** Checks the lease again right before sending [order], because fetching the reports may have taken long. */
+    private fun send(
+        group: EngineGroup,
         order: PlannedOrder,
         loadSpacing: Duration,
     ) {
-        val fencing = group.lease.fencing() ?: return
+        val fencingToken = group.lease.fencingTokenOrNull() ?: return
         if (order.loads) group.nextLoadAt = clock.nanos() + loadSpacing.inWholeNanoseconds
-        val status = client.order(order.endpoint, EngineOrder(fencing, order.versions)).join()
+        val status = client.sendOrder(order.endpoint, EngineOrder(fencingToken, order.versions)).join()
         val event = if (status == HttpStatus.OK) LogEvent.ENGINE_ORDER_TAKEN else LogEvent.ENGINE_ORDER_FAILED
         event.log(logger) {
-            "endpoint=${order.endpoint.id} versions=${order.versions} fencing=$fencing status=${status?.code()}"
+            "endpoint=${order.endpoint.id} versions=${order.versions} fencing=$fencingToken status=${status?.code()}"
         }
     }
 
-    private fun noteHolding(
+    private fun logLeaseChange(
         domain: FailureDomainId,
-        fencing: Long?,
+        fencingToken: Long?,
     ) {
-        val event = if (fencing != null) LogEvent.ENGINE_LEASE_HELD else LogEvent.ENGINE_LEASE_ENDED
-        event.log(logger) { "domain=$domain fencing=$fencing" }
+        val event = if (fencingToken != null) LogEvent.ENGINE_LEASE_HELD else LogEvent.ENGINE_LEASE_ENDED
+        event.log(logger) { "domain=$domain fencing=$fencingToken" }
     }
 
     private fun newLease(domain: FailureDomainId) =
-        ObjectStoreLease(ObjectKey(key(domain)), view.self.id, leaseSettings, objects, clock)
+        ObjectStoreLease(ObjectKey(leaseKey(domain)), view.self.id, leaseSettings, objects, clock)
 
-    private fun key(domain: FailureDomainId) = "leases/engine-orders/$domain"
+    private fun leaseKey(domain: FailureDomainId) = "leases/engine-orders/$domain"
 
     override fun close() {
-        duty?.stop()
+        actor?.stop()
         client.close()
     }
 
     private companion object {
-        const val RING = 2
+        const val MAILBOX_CAPACITY = 2
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/order/ObjectStoreLease.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/ObjectStoreLease.kt
@@ -16,7 +16,7 @@
 import dev.almondhaven.store.WriteCondition
 import java.util.UUID
 
-/** A [Lease] kept at one object of the platform. Its calls block. */
+/** A [Lease] stored in one object of the platform. Calls to the platform block the calling thread. */
 internal class ObjectStoreLease(
     private val key: ObjectKey,
     self: RouterId,
@@ -26,11 +26,14 @@
 ) {
     private val lease = Lease(self, settings) { UUID.randomUUID().toString() }
 
-    /** The fencing number to order with now, or null. */
-    fun fencing(): Long? = lease.fencing(clock.nanos())
+    /** The fencing token of the lease; null if this router doesn't hold it, or holds it too close to its expiry. */
+    fun fencingTokenOrNull(): Long? = lease.fencing(clock.nanos())
 
-    /** Makes the call that is due, if any. */
-    fun keep(wanted: Boolean) {
+    /**
+     * Makes the next call that acquiring or renewing the lease requires, if one is due; [wanted] tells whether this
+     * router should hold the lease.
+     */
+    fun advance(wanted: Boolean) {
         when (val call = lease.next(clock.nanos(), wanted)) {
             null -> Unit
             LeaseCall.Read -> read()
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerNetwork.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerNetwork.kt
@@ -8,7 +8,7 @@
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.peer.PeerKeyRing
 import dev.almondhaven.router.settings.PeerSettings
-import dev.almondhaven.router.settings.socketAddress
+import dev.almondhaven.router.settings.parseSocketAddress
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.ThreadLocalRandom
 import kotlin.time.Duration
@@ -66,7 +66,7 @@
             val handlers = PeerHandlers()
             if (settings == null) return PeerNetwork(Member(id, domain, NO_ADDRESS), NoTransport, handlers, emptyList())
             val keys = PeerKeyRing(settings.keys)
-            val server = PeerServer(socketAddress(settings.listen), keys, handlers).also { it.start() }
+            val server = PeerServer(parseSocketAddress(settings.listen), keys, handlers).also { it.start() }
             val transport = HttpPeerTransport(keys, MESSAGE_TIMEOUT)
             val address = "${settings.listen.substringBeforeLast(':')}:${server.port}"
             return PeerNetwork(Member(id, domain, address), transport, handlers, listOf(server, transport))
--- a/router/src/main/kotlin/dev/almondhaven/router/session/PeerSessionDirectory.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/session/PeerSessionDirectory.kt
@@ -20,90 +20,97 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * The directory over the fleet: two routers, chosen by rendezvous hashing, hold each session, and every router keeps
- * what it has learnt. A holder that doesn't answer in time counts as knowing nothing.
+ * The session directory of the fleet. Two routers, selected by rendezvous hashing, hold the pin of each session, and
+ * every router caches the pins that it receives. A holder that doesn't respond in time is treated as holding no pin.
  */
 public class PeerSessionDirectory(
-    private val local: LocalSessionDirectory,
+    private val localDirectory: LocalSessionDirectory,
     private val view: FleetView,
     private val transport: PeerTransport,
     private val timeout: Duration,
 ) : SessionDirectory {
-    /** Answers look-ups of peers at [LOOK_UP_PATH]. */
+    /** Handles look-ups from peers at [LOOK_UP_PATH]. */
     public val lookUpHandler: PeerHandler =
         PeerHandler { body ->
             val key = json.decodeFromString(SessionLookupRequest.serializer(), body).key
-            json.encodeToString(SessionPinResponse.serializer(), SessionPinResponse(local.held(key)))
+            json.encodeToString(SessionPinResponse.serializer(), SessionPinResponse(localDirectory.pinOrNull(key)))
         }
 
-    /** Takes pins of peers at [PIN_PATH]. */
+    /** Handles pin updates from peers at [PIN_PATH]. */
     public val pinHandler: PeerHandler =
         PeerHandler { body ->
-            val notice = json.decodeFromString(SessionPinUpdate.serializer(), body)
-            notice.replaces?.let { local.replace(it, notice.pin) }
-            json.encodeToString(SessionPinResponse.serializer(), SessionPinResponse(local.keep(notice.pin)))
+            val update = json.decodeFromString(SessionPinUpdate.serializer(), body)
+            update.replaces?.let { localDirectory.replaceIfSameVersion(it, update.pin) }
+            val response = SessionPinResponse(localDirectory.putIfPreferred(update.pin))
+            json.encodeToString(SessionPinResponse.serializer(), response)
         }
 
     override fun lookUp(key: SessionKey): CompletableFuture<SessionPin?> {
-        val held = local.held(key) ?: return refresh(key)
-        return CompletableFuture.completedFuture(held)
+        val cached = localDirectory.pinOrNull(key) ?: return refresh(key)
+        return CompletableFuture.completedFuture(cached)
     }
 
     override fun refresh(key: SessionKey): CompletableFuture<SessionPin?> {
-        val answers = ask(key, LOOK_UP_PATH, SessionLookupRequest.serializer(), SessionLookupRequest(key))
-        return answers.thenApply { pins -> merged(pins)?.let { local.keep(it) } ?: local.held(key) }
+        val replies = askHolders(key, LOOK_UP_PATH, SessionLookupRequest.serializer(), SessionLookupRequest(key))
+        return replies.thenApply { pins ->
+            mergeOrNull(pins)?.let { localDirectory.putIfPreferred(it) } ?: localDirectory.pinOrNull(key)
+        }
     }
 
     override fun remember(pin: SessionPin): CompletableFuture<SessionPin> {
-        val kept = local.keep(pin)
-        val answers = ask(pin.key, PIN_PATH, SessionPinUpdate.serializer(), SessionPinUpdate(kept))
-        return answers.thenApply { pins -> local.keep(merged(pins) ?: kept) }
+        val kept = localDirectory.putIfPreferred(pin)
+        val replies = askHolders(pin.key, PIN_PATH, SessionPinUpdate.serializer(), SessionPinUpdate(kept))
+        return replies.thenApply { pins -> localDirectory.putIfPreferred(mergeOrNull(pins) ?: kept) }
     }
 
     override fun move(
         from: SessionPin,
         pin: SessionPin,
     ) {
-        local.replace(from, pin)
-        ask(pin.key, PIN_PATH, SessionPinUpdate.serializer(), SessionPinUpdate(pin, replaces = from))
+        localDirectory.replaceIfSameVersion(from, pin)
+        askHolders(pin.key, PIN_PATH, SessionPinUpdate.serializer(), SessionPinUpdate(pin, replaces = from))
     }
 
-    private fun merged(pins: List<SessionPin>): SessionPin? = pins.reduceOrNull(SessionPin::merge)
+    private fun mergeOrNull(pins: List<SessionPin>): SessionPin? = pins.reduceOrNull(SessionPin::merge)
 
-    private fun holders(key: SessionKey): List<Member> =
+    private fun holdersOf(key: SessionKey): List<Member> =
         RendezvousHash
-            .choose("session/$key", view.members, HOLDERS) { it.id.value }
+            .choose("session/$key", view.members, HOLDERS_PER_SESSION) { it.id.value }
             .filter { it.id != view.self.id }
 
-    private fun <T> ask(
+    private fun <T> askHolders(
         key: SessionKey,
         path: String,
         serializer: KSerializer<T>,
         message: T,
     ): CompletableFuture<List<SessionPin>> {
-        val holders = holders(key)
+        val holders = holdersOf(key)
         if (holders.isEmpty()) return CompletableFuture.completedFuture(emptyList())
         val body = json.encodeToString(serializer, message)
-        val answers = holders.map { askOne(it, path, body) }
-        return CompletableFuture.allOf(*answers.toTypedArray()).thenApply {
-            val heard = answers.mapNotNull { it.join() }
-            if (heard.isEmpty()) LogEvent.SESSION_HOLDER_SILENT.log(logger) { "session=$key holders=${holders.size}" }
-            heard.mapNotNull { it.pin }
+        val responses = holders.map { requestOrNull(it, path, body) }
+        return CompletableFuture.allOf(*responses.toTypedArray()).thenApply {
+            val received = responses.mapNotNull { it.join() }
+            if (received.isEmpty()) {
+                LogEvent.SESSION_HOLDER_SILENT.log(
+                    logger,
+                ) { "session=$key holders=${holders.size}" }
+            }
+            received.mapNotNull { it.pin }
         }
     }
 
-    private fun askOne(
+    private fun requestOrNull(
         holder: Member,
         path: String,
         body: String,
     ): CompletableFuture<SessionPinResponse?> =
         transport
             .post(holder, path, body)
-            .thenApply { result -> result.map { parse(it) }.getOrElse { null } }
+            .thenApply { result -> result.map { parseOrNull(it) }.getOrElse { null } }
             .completeOnTimeout(null, timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
             .exceptionally { null }
 
-    private fun parse(text: String): SessionPinResponse? =
+    private fun parseOrNull(text: String): SessionPinResponse? =
         try {
             json.decodeFromString(SessionPinResponse.serializer(), text)
         } catch (_: SerializationException) {
@@ -111,13 +118,13 @@
         }
 
     public companion object {
-        /** Path of look-ups below `/peer/v1/`. */
+        /** Path of the look-up handler below `/peer/v1/`. */
         public const val LOOK_UP_PATH: String = "sessions/look-up"
 
-        /** Path of pins below `/peer/v1/`. */
+        /** Path of the pin handler below `/peer/v1/`. */
         public const val PIN_PATH: String = "sessions/pin"
 
-        private const val HOLDERS = 2
+        private const val HOLDERS_PER_SESSION = 2
         private val json = Json { ignoreUnknownKeys = true }
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/session/SessionDirectory.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/session/SessionDirectory.kt
@@ -8,27 +8,27 @@
 import kotlin.time.toJavaDuration
 
 /**
- * Remembers the version of sessions whose callers send an id but no token. Soft state: it may forget, so what must hold
- * rests on tokens. Nothing here blocks.
+ * Remembers the version of sessions whose callers send an id but no token. The directory is soft state and may lose
+ * entries, so guarantees for sessions rely on tokens. No function blocks.
  */
 public interface SessionDirectory {
-    /** The pin of [key], or null when nobody who answered knows one. */
+    /** Looks up the pin of [key]; null if no router that responded knows one. */
     public fun lookUp(key: SessionKey): CompletableFuture<SessionPin?>
 
-    /** Like [lookUp], but asks the holders also when this process remembers a pin. */
+    /** Looks up the pin of [key] as [lookUp] does, but asks its holders even if this process remembers a pin. */
     public fun refresh(key: SessionKey): CompletableFuture<SessionPin?>
 
-    /** Remembers [pin] and returns the pin that the session keeps: the oldest one known. */
+    /** Remembers [pin] and returns the pin that the session keeps, which is the oldest one known. */
     public fun remember(pin: SessionPin): CompletableFuture<SessionPin>
 
-    /** Replaces what is known by [pin], because its session moved off a withdrawn version. */
+    /** Replaces [from] with [pin], because the session moved off a withdrawn version. */
     public fun move(
         from: SessionPin,
         pin: SessionPin,
     )
 }
 
-/** The directory of one process: bounded, and forgets sessions without requests. */
+/** The session directory of one process, bounded in size; sessions without requests expire. */
 public class LocalSessionDirectory(
     settings: SessionSettings,
 ) : SessionDirectory {
@@ -39,31 +39,36 @@
             .expireAfterAccess(settings.directoryAge.toJavaDuration())
             .build<SessionKey, SessionPin>()
 
-    /** Sessions remembered. */
+    /** Number of sessions remembered. */
     public val size: Long get() = pins.size()
 
-    /** The pin that this process remembers. */
-    public fun held(key: SessionKey): SessionPin? = pins.getIfPresent(key)
+    /** The pin of [key] that this process remembers, if any. */
+    public fun pinOrNull(key: SessionKey): SessionPin? = pins.getIfPresent(key)
 
-    /** Keeps the older of [pin] and the pin held; returns it. */
-    public fun keep(pin: SessionPin): SessionPin = checkNotNull(pins.asMap().merge(pin.key, pin, SessionPin::merge))
+    /** Stores [pin] unless the remembered pin takes precedence by [SessionPin.merge]; returns the pin that is kept. */
+    public fun putIfPreferred(pin: SessionPin): SessionPin =
+        checkNotNull(pins.asMap().merge(pin.key, pin, SessionPin::merge))
 
-    /** Forgets [from] in favour of [pin] if [from] is what is held. */
-    public fun replace(
+    /** Replaces the remembered pin with [pin] if there is none or it has the version of [from]. */
+    public fun replaceIfSameVersion(
         from: SessionPin,
         pin: SessionPin,
     ) {
-        pins.asMap().compute(pin.key) { _, held -> if (held == null || held.version == from.version) pin else held }
+        pins.asMap().compute(pin.key) { _, current ->
+            if (current == null || current.version == from.version) pin else current
+        }
     }
 
-    override fun lookUp(key: SessionKey): CompletableFuture<SessionPin?> = CompletableFuture.completedFuture(held(key))
+    override fun lookUp(key: SessionKey): CompletableFuture<SessionPin?> =
+        CompletableFuture.completedFuture(pinOrNull(key))
 
     override fun refresh(key: SessionKey): CompletableFuture<SessionPin?> = lookUp(key)
 
-    override fun remember(pin: SessionPin): CompletableFuture<SessionPin> = CompletableFuture.completedFuture(keep(pin))
+    override fun remember(pin: SessionPin): CompletableFuture<SessionPin> =
+        CompletableFuture.completedFuture(putIfPreferred(pin))
 
     override fun move(
         from: SessionPin,
         pin: SessionPin,
-    ): Unit = replace(from, pin)
+    ): Unit = replaceIfSameVersion(from, pin)
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/session/SessionMessages.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/session/SessionMessages.kt
@@ -4,16 +4,16 @@
 import dev.almondhaven.decision.session.SessionPin
 import kotlinx.serialization.Serializable
 
-/** Asks a holder for a session's pin. */
+/** Asks a holder for the pin of a session. */
 @Serializable
 internal data class SessionLookupRequest(
     val key: SessionKey,
 )
 
 /**
- * Tells a holder a session's pin.
+ * Sends the pin of a session to a holder.
  *
- * @property replaces the pin that this one replaces because its version is withdrawn.
+ * @property replaces the pin that [pin] replaces because its version was withdrawn.
  */
 @Serializable
 internal data class SessionPinUpdate(
@@ -21,7 +21,7 @@
     val replaces: SessionPin? = null,
 )
 
-/** A holder's answer: the pin that it holds now. */
+/** Response of a holder: the pin that it holds now, if any. */
 @Serializable
 internal data class SessionPinResponse(
     val pin: SessionPin? = null,
--- a/router/src/main/kotlin/dev/almondhaven/router/session/SessionModule.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/session/SessionModule.kt
@@ -24,5 +24,5 @@
 
     /** Creates the filter that pins requests to the version of their session. */
     fun createFilter(catalogueHolder: CatalogueHolder): RequestFilter =
-        SessionFilter(catalogueHolder, settings.tokens(), directory, System::currentTimeMillis)
+        SessionFilter(catalogueHolder, settings.createTokensOrNull(), directory, System::currentTimeMillis)
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/BillingSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/BillingSettings.kt
@@ -6,10 +6,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How requests are billed.
+ * Settings of billing.
  *
- * @property writeInterval least time between two writes by the router that writes for its failure domain.
- * @property records most records kept while the platform is down; as many again are kept for other routers.
+ * @property writeInterval minimum interval between writes by the router that writes for its failure domain.
+ * @property records maximum number of records kept in memory while the platform is unavailable, and, separately, maximum
+ * number of records of other routers of which copies are kept.
  */
 @Serializable
 public data class BillingSettings(
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/ChoiceSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/ChoiceSettings.kt
@@ -8,13 +8,13 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How models and versions are chosen and tested.
+ * Settings of model and version selection, and of roll-outs.
  *
  * @property ratingsAddress base address of the rating service; null when there is none.
- * @property ratingsInterval time between two polls of the rating service.
- * @property exploredRequestShare largest part of the requests that try a less known version.
- * @property exploredCostShare largest part of the cost that such requests may add.
- * @property rollOutFalseAlarm bound on the probability that a good version's roll-out is ever stopped.
+ * @property ratingsInterval interval between polls of the rating service.
+ * @property exploredRequestShare maximum share of requests that explore a version with little quality evidence.
+ * @property exploredCostShare maximum share of the cost that exploring requests may add.
+ * @property rollOutFalseAlarm upper bound of the probability that the roll-out of a good version is ever halted.
  */
 @Serializable
 public data class ChoiceSettings(
@@ -24,8 +24,8 @@
     public val exploredCostShare: Double = DEFAULT_EXPLORED_SHARE,
     public val rollOutFalseAlarm: Double = DEFAULT_ROLL_OUT_FALSE_ALARM,
 ) {
-    /** Everything that is wrong with the values. */
-    internal fun problems(): List<Problem> =
+    /** Validates the settings and returns every problem found. */
+    internal fun validate(): List<Problem> =
         buildList {
             val scheme = runCatching { ratingsAddress?.let { URI(it).scheme } ?: "http" }.getOrNull()
             if (scheme != "http" && scheme != "https") {
@@ -34,14 +34,14 @@
             if (!ratingsInterval.isPositive()) {
                 add(Problem("choice.ratingsInterval", "$ratingsInterval", "more than 0s"))
             }
-            addAll(share("choice.exploredRequestShare", exploredRequestShare))
-            addAll(share("choice.exploredCostShare", exploredCostShare))
+            addAll(validateShare("choice.exploredRequestShare", exploredRequestShare))
+            addAll(validateShare("choice.exploredCostShare", exploredCostShare))
             if (rollOutFalseAlarm <= 0.0 || rollOutFalseAlarm >= 1.0) {
                 add(Problem("choice.rollOutFalseAlarm", "$rollOutFalseAlarm", "more than 0 and less than 1"))
             }
         }
 
-    private fun share(
+    private fun validateShare(
         path: String,
         value: Double,
     ): List<Problem> = if (value in 0.0..1.0) emptyList() else listOf(Problem(path, "$value", "from 0 to 1"))
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/ClaimSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/ClaimSettings.kt
@@ -8,12 +8,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How non-idempotent calls are claimed.
+ * Settings of claims, which prevent that a non-idempotent call is dispatched twice.
  *
- * @property writeInterval least time between two writes of one shard.
- * @property dispatchBound how long after its arrival a call may be dispatched at the latest.
- * @property runLimit how long a dispatched call may run, also when its caller has left.
- * @property relayTimeout how long a shard's owner has to settle an operation before the router writes it itself.
+ * @property writeInterval minimum interval between writes of one shard.
+ * @property dispatchBound time after its arrival within which a call must be dispatched.
+ * @property runLimit longest time that a dispatched call may run, even if its caller has disconnected.
+ * @property relayTimeout time that the owner of a shard has to settle an operation before the router writes it itself.
  */
 @Serializable
 public data class ClaimSettings(
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/DrainSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/DrainSettings.kt
@@ -7,19 +7,19 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How a planned stop goes.
+ * Settings of a graceful shutdown.
  *
- * @property balancerDelay time between the failing readiness check and the end of listening, in which the balancer takes
- * the router out.
- * @property timeout longest wait for running requests; at least the request timeout, so that none is cut.
+ * @property balancerDelay time between failing the readiness check and closing the listener, in which the load balancer
+ * takes the router out of rotation.
+ * @property timeout longest wait for running requests; at least the request timeout, so that no request is aborted.
  */
 @Serializable
 public data class DrainSettings(
     @Serializable(with = DurationText::class) public val balancerDelay: Duration = 5.seconds,
     @Serializable(with = DurationText::class) public val timeout: Duration = 65.seconds,
 ) {
-    /** Everything that is wrong with the values, given the longest time that a request may take. */
-    internal fun problems(requestTimeout: Duration): List<Problem> =
+    /** Validates the settings against the longest time that a request may take, and returns every problem found. */
+    internal fun validate(requestTimeout: Duration): List<Problem> =
         buildList {
             if (balancerDelay.isNegative()) add(Problem("drain.balancerDelay", "$balancerDelay", "0s or more"))
             if (timeout < requestTimeout) {
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/EndpointSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/EndpointSettings.kt
@@ -8,15 +8,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How the router treats endpoints and their connections.
+ * Settings of endpoints and their connections.
  *
- * @property connectTimeout longest wait for a new connection.
- * @property pingInterval time without a byte after which an HTTP/2 PING is sent; as long again without an answer closes
- * the connection.
- * @property firstByteDeadline longest silence before a streamed answer's first token.
- * @property tokenDeadline longest silence between two tokens of a streamed answer.
- * @property callerStall longest time that a caller may take nothing of its streamed answer.
- * @property statusInterval time between two polls of an engine's load report.
+ * @property connectTimeout timeout for establishing a connection.
+ * @property pingInterval time without received bytes after which an HTTP/2 PING is sent; if it isn't answered within the
+ * same time, the connection is closed.
+ * @property firstByteDeadline longest time to the first token of a streamed answer.
+ * @property tokenDeadline longest time between two tokens of a streamed answer.
+ * @property callerStall longest time that a caller may read nothing from its streamed answer.
+ * @property statusInterval interval between polls of an engine's load report.
  */
 @Serializable
 public data class EndpointSettings(
@@ -27,8 +27,8 @@
     @Serializable(with = DurationText::class) public val callerStall: Duration = 15.seconds,
     @Serializable(with = DurationText::class) public val statusInterval: Duration = 500.milliseconds,
 ) {
-    /** Everything that is wrong with the values. */
-    internal fun problems(): List<Problem> =
+    /** Validates the settings and returns every problem found. */
+    internal fun validate(): List<Problem> =
         listOf(
             "connectTimeout" to connectTimeout,
             "pingInterval" to pingInterval,
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/EngineOrderSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/EngineOrderSettings.kt
@@ -7,12 +7,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Orders to model engines.
+ * Settings of the orders that tell model engines which versions to load and unload.
  *
- * @property enabled whether routers order engines to load and unload versions as the release notes say.
- * @property interval time between two looks at the engines of a failure domain.
- * @property loadsPerMinute loads that the weight store bears from all engines together.
- * @property callTimeout longest wait for one engine; no order takes effect later than this after it was sent.
+ * @property enabled whether routers order engines to load and unload versions according to the release notes.
+ * @property interval interval between reconciliations of the engines of a failure domain.
+ * @property loadsPerMinute maximum rate of model loads by all engines together, which the weight store has to sustain.
+ * @property callTimeout timeout of a call to an engine; no order takes effect later than this after it was sent.
  */
 @Serializable
 public data class EngineOrderSettings(
@@ -21,11 +21,11 @@
     public val loadsPerMinute: Double = DEFAULT_LOADS_PER_MINUTE,
     @Serializable(with = DurationText::class) public val callTimeout: Duration = 5.seconds,
 ) {
-    /** Everything that is wrong with the values themselves. */
-    internal fun problems(): List<Problem> =
+    /** Validates the settings and returns every problem found. */
+    internal fun validate(): List<Problem> =
         buildList {
-            addAll(RouterSettings.positive("engineOrders.interval", interval))
-            addAll(RouterSettings.positive("engineOrders.callTimeout", callTimeout))
+            addAll(RouterSettings.validatePositive("engineOrders.interval", interval))
+            addAll(RouterSettings.validatePositive("engineOrders.callTimeout", callTimeout))
             if (!(loadsPerMinute > 0)) add(Problem("engineOrders.loadsPerMinute", "$loadsPerMinute", "more than 0"))
         }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/PeerSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/PeerSettings.kt
@@ -9,14 +9,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How this process finds and speaks to the other routers.
+ * Settings of the discovery of, and the communication with, other routers.
  *
- * @property listen `ip:port` for the peer protocol; also the address that the others are told.
- * @property keys shared secrets; the first one signs, all verify.
- * @property seeds `ip:port` of routers to ask first.
- * @property vmList address of the platform's list of VMs; null when there is none.
- * @property probeInterval time between two probes of other routers.
- * @property staleAfter time without a confirmation from the platform after which the configuration counts as stale.
+ * @property listen `ip:port` on which the router listens for the peer protocol, and which it announces to its peers.
+ * @property keys shared secrets; the first one signs messages, all of them verify messages.
+ * @property seeds `ip:port` of the routers to contact first.
+ * @property vmList URL of the platform's list of VMs; null if there is none.
+ * @property probeInterval interval between probes of other routers.
+ * @property staleAfter time without a confirmation by the platform after which the configuration is considered stale.
  */
 @Serializable
 public data class PeerSettings(
@@ -27,11 +27,11 @@
     @Serializable(with = DurationText::class) public val probeInterval: Duration = 1.seconds,
     @Serializable(with = DurationText::class) public val staleAfter: Duration = DEFAULT_STALE_AFTER,
 ) {
-    /** Everything that is wrong with the values themselves. */
-    internal fun problems(): List<Problem> =
+    /** Validates the settings and returns every problem found. */
+    internal fun validate(): List<Problem> =
         buildList {
-            addresses().forEach { (path, address) ->
-                if (!RouterSettings.HOST_AND_PORT.matches(address)) {
+            addressesByPath().forEach { (path, address) ->
+                if (!RouterSettings.IP_AND_PORT.matches(address)) {
                     add(Problem(path, address, "an IP number and port, such as 10.0.0.1:8081"))
                 }
             }
@@ -41,15 +41,15 @@
                     add(Problem("peers.keys[$index]", "$key", "${PeerKey.MINIMUM_LENGTH} characters or more"))
                 }
             }
-            vmList?.let { if (!isHttp(it)) add(Problem("peers.vmList", it, "an http or https address")) }
-            addAll(RouterSettings.positive("peers.probeInterval", probeInterval))
-            addAll(RouterSettings.positive("peers.staleAfter", staleAfter))
+            vmList?.let { if (!isHttpUrl(it)) add(Problem("peers.vmList", it, "an http or https address")) }
+            addAll(RouterSettings.validatePositive("peers.probeInterval", probeInterval))
+            addAll(RouterSettings.validatePositive("peers.staleAfter", staleAfter))
         }
 
-    private fun addresses(): List<Pair<String, String>> =
+    private fun addressesByPath(): List<Pair<String, String>> =
         listOf("peers.listen" to listen) + seeds.mapIndexed { index, seed -> "peers.seeds[$index]" to seed }
 
-    private fun isHttp(address: String): Boolean {
+    private fun isHttpUrl(address: String): Boolean {
         val scheme = runCatching { URI(address).scheme }.getOrNull()
         return scheme == "http" || scheme == "https"
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/RouterSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/RouterSettings.kt
@@ -14,10 +14,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Where this process stands.
+ * Settings of the router process.
  *
- * @property failureDomain failure domain of the VM it runs on.
- * @property listen `ip:port` for callers.
+ * @property failureDomain failure domain of the VM on which the process runs.
+ * @property listen `ip:port` on which the router listens for callers.
  */
 @Serializable
 public data class ProcessSettings(
@@ -26,13 +26,13 @@
 )
 
 /**
- * How to reach the platform.
+ * Settings of calls to the platform.
  *
- * @property address base address of the object API.
- * @property callTimeout longest wait for one call.
- * @property watchWait longest wait of one watch.
- * @property writesPerSecond writes that all routers together may make; each takes its share.
- * @property readsPerSecond reads and watches that all routers together may make; each takes its share.
+ * @property address base URL of the object API.
+ * @property callTimeout timeout of a call.
+ * @property watchWait longest time that the platform may hold a watch request open.
+ * @property writesPerSecond rate limit for writes by all routers together; each router uses an equal share.
+ * @property readsPerSecond rate limit for reads and watches by all routers together; each router uses an equal share.
  */
 @Serializable
 public data class PlatformSettings(
@@ -44,11 +44,11 @@
 )
 
 /**
- * Bounds on callers' requests.
+ * Limits on the requests of callers.
  *
- * @property bodyBytes largest request body.
- * @property inFlight requests in flight at once in this process.
- * @property requestTimeout deadline of a request that names none.
+ * @property bodyBytes maximum size of a request body.
+ * @property inFlight maximum number of requests in flight in this process.
+ * @property requestTimeout time until the deadline of a request that doesn't set a shorter one.
  */
 @Serializable
 public data class RequestSettings(
@@ -63,7 +63,7 @@
 }
 
 /**
- * Settings of one router process, read from YAML once at start; `examples/router.yaml` documents every field.
+ * Settings of a router, read from a YAML file at startup; `examples/router.yaml` documents every field.
  */
 @Serializable
 public data class RouterSettings(
@@ -79,10 +79,10 @@
     public val engineOrders: EngineOrderSettings = EngineOrderSettings(),
     public val choice: ChoiceSettings = ChoiceSettings(),
 ) {
-    /** Everything that is wrong with the values themselves. */
-    internal fun problems(): List<Problem> =
+    /** Validates all settings and returns every problem found. */
+    internal fun validate(): List<Problem> =
         buildList {
-            if (!HOST_AND_PORT.matches(process.listen)) {
+            if (!IP_AND_PORT.matches(process.listen)) {
                 add(Problem("process.listen", process.listen, "an IP number and port, such as 10.0.0.1:8080"))
             }
             val scheme = runCatching { URI(platform.address).scheme }.getOrNull()
@@ -91,42 +91,42 @@
             }
             if (requests.bodyBytes <= 0) add(Problem("requests.bodyBytes", "${requests.bodyBytes}", "1 or more"))
             if (requests.inFlight <= 0) add(Problem("requests.inFlight", "${requests.inFlight}", "1 or more"))
-            addAll(choice.problems())
-            addAll(positive("platform.callTimeout", platform.callTimeout))
-            addAll(positive("platform.watchWait", platform.watchWait))
-            addAll(positive("platform.writesPerSecond", platform.writesPerSecond))
-            addAll(positive("platform.readsPerSecond", platform.readsPerSecond))
-            addAll(positive("billing.writeInterval", billing.writeInterval))
+            addAll(choice.validate())
+            addAll(validatePositive("platform.callTimeout", platform.callTimeout))
+            addAll(validatePositive("platform.watchWait", platform.watchWait))
+            addAll(validatePositive("platform.writesPerSecond", platform.writesPerSecond))
+            addAll(validatePositive("platform.readsPerSecond", platform.readsPerSecond))
+            addAll(validatePositive("billing.writeInterval", billing.writeInterval))
             if (billing.records <= 0) add(Problem("billing.records", "${billing.records}", "1 or more"))
-            addAll(positive("claims.writeInterval", claims.writeInterval))
-            addAll(positive("claims.dispatchBound", claims.dispatchBound))
-            addAll(positive("claims.runLimit", claims.runLimit))
-            addAll(positive("claims.relayTimeout", claims.relayTimeout))
-            addAll(positive("requests.requestTimeout", requests.requestTimeout))
-            addAll(sessions.problems())
-            addAll(endpoints.problems())
-            addAll(drain.problems(requests.requestTimeout))
-            peers?.let { addAll(it.problems()) }
-            addAll(engineOrders.problems())
+            addAll(validatePositive("claims.writeInterval", claims.writeInterval))
+            addAll(validatePositive("claims.dispatchBound", claims.dispatchBound))
+            addAll(validatePositive("claims.runLimit", claims.runLimit))
+            addAll(validatePositive("claims.relayTimeout", claims.relayTimeout))
+            addAll(validatePositive("requests.requestTimeout", requests.requestTimeout))
+            addAll(sessions.validate())
+            addAll(endpoints.validate())
+            addAll(drain.validate(requests.requestTimeout))
+            peers?.let { addAll(it.validate()) }
+            addAll(engineOrders.validate())
         }
 
     public companion object {
-        internal val HOST_AND_PORT = Regex("""(\d{1,3}\.){3}\d{1,3}:\d{1,5}|\[[0-9a-fA-F:]+]:\d{1,5}""")
+        internal val IP_AND_PORT = Regex("""(\d{1,3}\.){3}\d{1,3}:\d{1,5}|\[[0-9a-fA-F:]+]:\d{1,5}""")
 
-        internal fun positive(
+        internal fun validatePositive(
             path: String,
             value: Double,
         ): List<Problem> = if (value > 0) emptyList() else listOf(Problem(path, "$value", "more than 0"))
 
-        internal fun positive(
+        internal fun validatePositive(
             path: String,
             value: Duration,
         ): List<Problem> = if (value.isPositive()) emptyList() else listOf(Problem(path, "$value", "more than 0s"))
 
-        /** Parses and checks settings; the left side lists every problem. */
+        /** Parses and validates YAML settings; the left side lists every problem found. */
         public fun parse(text: String): Either<List<Problem>, RouterSettings> =
             YamlDocument.read(serializer(), text).flatMap { settings ->
-                val problems = settings.problems()
+                val problems = settings.validate()
                 if (problems.isEmpty()) settings.right() else problems.left()
             }
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/SessionSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/SessionSettings.kt
@@ -13,7 +13,7 @@
 /**
  * A secret that signs session tokens.
  *
- * @property secret at least 32 characters.
+ * @property secret at least 32 bytes in UTF-8.
  */
 @Serializable
 public data class SessionKeySetting(
@@ -24,14 +24,15 @@
 }
 
 /**
- * How sessions keep their version.
+ * Settings of sessions, which keep a conversation on one model version.
  *
- * @property keys secrets that verify session tokens; without any, no tokens are issued or accepted.
- * @property signWith id of the key that signs new tokens; the first key when empty.
- * @property tokenMaximumAge how long a token is accepted; one in its second half is renewed.
- * @property directoryEntries sessions known by their id only that this process remembers.
- * @property directoryAge how long such a session is remembered after its last request.
- * @property directoryTimeout longest wait for the two holders of such a session.
+ * @property keys keys that verify session tokens; if empty, no tokens are issued or accepted.
+ * @property signWith id of the key that signs new tokens; if empty, the first key signs.
+ * @property tokenMaximumAge validity period of a token; a token past half of its period is renewed.
+ * @property directoryEntries maximum number of sessions without a token, identified by their id, that this process
+ * remembers.
+ * @property directoryAge time for which such a session is remembered after its last request.
+ * @property directoryTimeout timeout for responses of the two routers that hold such a session.
  */
 @Serializable
 public data class SessionSettings(
@@ -42,39 +43,39 @@
     @Serializable(with = DurationText::class) public val directoryAge: Duration = 12.hours,
     @Serializable(with = DurationText::class) public val directoryTimeout: Duration = 100.milliseconds,
 ) {
-    /** Signs and verifies with these keys, or null when there are none. */
-    internal fun tokens(): SessionTokens? {
+    /** Creates the signer and verifier of session tokens; null if there are no keys. */
+    internal fun createTokensOrNull(): SessionTokens? {
         val first = keys.firstOrNull() ?: return null
         val signingKeys = keys.map { SessionSigningKey(it.id, it.secret.toByteArray()) }
         return SessionTokens(signingKeys, signWith.ifEmpty { first.id }, tokenMaximumAge)
     }
 
-    /** Everything that is wrong with the values themselves. */
-    internal fun problems(): List<Problem> =
+    /** Validates the settings and returns every problem found. */
+    internal fun validate(): List<Problem> =
         buildList {
-            keys.forEachIndexed { index, key -> addAll(problems("sessions.keys[$index]", key)) }
+            keys.forEachIndexed { index, key -> addAll(validateKey("sessions.keys[$index]", key)) }
             val ids = keys.map { it.id }
             if (ids.size != ids.toSet().size) add(Problem("sessions.keys", "$ids", "ids that differ"))
             if (signWith.isNotEmpty() && signWith !in ids) add(Problem("sessions.signWith", signWith, "one of $ids"))
             if (directoryEntries <= 0) add(Problem("sessions.directoryEntries", "$directoryEntries", "1 or more"))
-            addAll(RouterSettings.positive("sessions.tokenMaximumAge", tokenMaximumAge))
-            addAll(RouterSettings.positive("sessions.directoryAge", directoryAge))
-            addAll(RouterSettings.positive("sessions.directoryTimeout", directoryTimeout))
+            addAll(RouterSettings.validatePositive("sessions.tokenMaximumAge", tokenMaximumAge))
+            addAll(RouterSettings.validatePositive("sessions.directoryAge", directoryAge))
+            addAll(RouterSettings.validatePositive("sessions.directoryTimeout", directoryTimeout))
         }
 
-    private fun problems(
+    private fun validateKey(
         path: String,
         key: SessionKeySetting,
     ): List<Problem> =
         buildList {
             val bytes = key.secret.toByteArray().size
             val minimum = SessionSigningKey.MINIMUM_SECRET_BYTES
-            if (!KEY_ID.matches(key.id)) add(Problem("$path.id", key.id, "letters, digits and dashes"))
+            if (!KEY_ID_PATTERN.matches(key.id)) add(Problem("$path.id", key.id, "letters, digits and dashes"))
             if (bytes < minimum) add(Problem("$path.secret", "$bytes bytes", "$minimum bytes or more"))
         }
 
     private companion object {
         const val DEFAULT_DIRECTORY_ENTRIES = 100_000L
-        val KEY_ID = Regex("[A-Za-z0-9-]+")
+        val KEY_ID_PATTERN = Regex("[A-Za-z0-9-]+")
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/SocketAddresses.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/SocketAddresses.kt
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress
 
-/** Reads `ip:port` as settings write it, for example `10.0.0.1:8080` or `[::1]:8080`. */
-internal fun socketAddress(hostAndPort: String): InetSocketAddress {
-    val host = hostAndPort.substringBeforeLast(':').trim('[', ']')
-    return InetSocketAddress(host, hostAndPort.substringAfterLast(':').toInt())
+/** Parses an `ip:port` setting such as `10.0.0.1:8080` or `[::1]:8080`. */
+internal fun parseSocketAddress(ipAndPort: String): InetSocketAddress {
+    val ip = ipAndPort.substringBeforeLast(':').trim('[', ']')
+    return InetSocketAddress(ip, ipAndPort.substringAfterLast(':').toInt())
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/order/EngineOrderControllerTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/order/EngineOrderControllerTest.kt
@@ -37,32 +37,32 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Controllers before one engine over real HTTP, with a clock that the test moves. */
+/** Runs controllers against one engine over HTTP, with a clock that the test advances. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 @TestMethodOrder(MethodOrderer.OrderAnnotation::class)
 class EngineOrderControllerTest {
     private val domain = FailureDomainId("west")
-    private val old = ModelVersionId.parse("slate@1")
-    private val new = ModelVersionId.parse("slate@2")
+    private val oldVersion = ModelVersionId.parse("slate@1")
+    private val newVersion = ModelVersionId.parse("slate@2")
     private val engine = EngineLoadStandIn(honoursFencing = false)
     private val server = StandInServer.start { engine.addTo(it) }
     private val objects = FaultyObjectStore(InMemoryObjectStore(), seed = 1)
     private val holder = CatalogueHolder()
-    private val running = mutableListOf<EngineOrderController>()
+    private val controllers = mutableListOf<EngineOrderController>()
     private val settings = EngineOrderSettings(true, 10.milliseconds, loadsPerMinute = 60_000.0)
-    private val lease = LeaseSettings()
+    private val leaseSettings = LeaseSettings()
     private val nanos = AtomicLong()
     private val clock = NanoClock { nanos.get() }
 
-    private fun start(name: String): EngineOrderController {
+    private fun startController(name: String): EngineOrderController {
         val view = FleetView.alone(Member(RouterId(name), domain, "127.0.0.1:1"))
-        val controller = EngineOrderController(settings, holder, view, objects, clock, lease)
-        running += controller
+        val controller = EngineOrderController(settings, holder, view, objects, clock, leaseSettings)
+        controllers += controller
         controller.start()
         return controller
     }
 
-    private fun want(
+    private fun publish(
         generation: Long,
         vararg versions: ModelVersionId,
     ) {
@@ -72,71 +72,71 @@
         holder.offer(Catalogue(Generation(generation), models = models, endpoints = listOf(endpoint)))
     }
 
-    private fun pass(span: Duration) {
-        nanos.addAndGet(span.inWholeNanoseconds)
+    private fun advanceClock(duration: Duration) {
+        nanos.addAndGet(duration.inWholeNanoseconds)
     }
 
-    /** Waits until [holds], while the clock goes on by [step] for each look. */
+    /** Waits until [condition] is true, and advances the clock by [step] before each further check. */
     private fun eventually(
         step: Duration = 5.milliseconds,
-        holds: () -> Boolean,
+        condition: () -> Boolean,
     ) {
-        repeat(PATIENCE_STEPS) {
-            if (holds()) return
-            pass(step)
-            TimeUnit.MILLISECONDS.sleep(STEP_MILLIS)
+        repeat(MAX_POLLS) {
+            if (condition()) return
+            advanceClock(step)
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS)
         }
-        error("did not happen: ${engine.report()} ${engine.orders}")
+        error("the condition was not met: ${engine.report()} ${engine.orders}")
     }
 
     @AfterEach
     fun stopControllers() {
-        running.forEach { it.close() }
-        running.clear()
+        controllers.forEach { it.close() }
+        controllers.clear()
     }
 
     @AfterAll
-    fun stop() {
+    fun closeServer() {
         server.close()
     }
 
     @Test
     @Order(1)
-    fun `one controller at a time brings the engine to what the notes say, and its successor goes on`() {
-        want(1, old)
-        val first = start("first")
-        eventually { engine.report() == EngineReport(listOf(old), listOf(old)) }
-        val second = start("second")
-        want(2, old, new)
-        eventually { engine.report().loaded == listOf(old, new) }
+    fun `one controller at a time makes the engine load the published versions, and its successor continues`() {
+        publish(1, oldVersion)
+        val first = startController("first")
+        eventually { engine.report() == EngineReport(listOf(oldVersion), listOf(oldVersion)) }
+        val second = startController("second")
+        publish(2, oldVersion, newVersion)
+        eventually { engine.report().loaded == listOf(oldVersion, newVersion) }
         expectThat(engine.orders.map { it.fencing }.distinct()).isEqualTo(listOf(1L))
 
         first.close()
-        want(3, new)
-        eventually(step = 1.seconds) { engine.report().loaded == listOf(new) }
+        publish(3, newVersion)
+        eventually(step = 1.seconds) { engine.report().loaded == listOf(newVersion) }
         expectThat(engine.orders.last().fencing).isGreaterThan(1)
         second.close()
     }
 
     @Test
     @Order(2)
-    fun `a controller that can't renew its lease gives no more orders`() {
-        want(11, old)
-        start("only")
-        eventually(step = 1.seconds) { engine.report().loaded == listOf(old) }
+    fun `a controller that can't renew its lease sends no more orders`() {
+        publish(11, oldVersion)
+        startController("only")
+        eventually(step = 1.seconds) { engine.report().loaded == listOf(oldVersion) }
         objects.outage = true
-        pass(lease.term)
-        val before = engine.orders
-        want(12, old, new)
-        TimeUnit.MILLISECONDS.sleep(QUIET_MILLIS)
+        advanceClock(leaseSettings.term)
+        val ordersBefore = engine.orders
+        publish(12, oldVersion, newVersion)
+        TimeUnit.MILLISECONDS.sleep(OBSERVATION_MILLIS)
 
-        expectThat(engine.orders).isEqualTo(before)
+        expectThat(engine.orders).isEqualTo(ordersBefore)
         objects.outage = false
     }
 
     private companion object {
-        const val PATIENCE_STEPS = 500
-        const val STEP_MILLIS = 20L
-        const val QUIET_MILLIS = 200L
+        const val MAX_POLLS = 500
+        const val POLL_INTERVAL_MILLIS = 20L
+        const val OBSERVATION_MILLIS = 200L
     }
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/session/PeerSessionDirectoryTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/session/PeerSessionDirectoryTest.kt
@@ -26,30 +26,30 @@
 class PeerSessionDirectoryTest {
     private val members =
         List(5) { Member(RouterId("router-$it"), FailureDomainId("west"), peerAddress = "127.0.0.1:$it") }
-    private val down = mutableSetOf<Member>()
+    private val unreachable = mutableSetOf<Member>()
     private val directories: List<PeerSessionDirectory> =
         members.map { self ->
             val local = LocalSessionDirectory(SessionSettings())
-            PeerSessionDirectory(local, FixedFleetView(self, members), Wire(), timeout = 5.seconds)
+            PeerSessionDirectory(local, FixedFleetView(self, members), InProcessTransport(), timeout = 5.seconds)
         }
     private val key = SessionKey(OrganisationId("roofers"), SessionId("one"))
 
-    private inner class Wire : PeerTransport {
+    private inner class InProcessTransport : PeerTransport {
         override fun post(
             to: Member,
             path: String,
             body: String,
-        ): CompletableFuture<Either<PeerError, String>> = CompletableFuture.completedFuture(answer(to, path, body))
+        ): CompletableFuture<Either<PeerError, String>> = CompletableFuture.completedFuture(respond(to, path, body))
 
-        private fun answer(
+        private fun respond(
             to: Member,
             path: String,
             body: String,
         ): Either<PeerError, String> {
-            if (to in down) return PeerError.NotSent("down").left()
+            if (to in unreachable) return PeerError.NotSent("unreachable").left()
             val directory = directories[members.indexOf(to)]
-            val lookUp = path == PeerSessionDirectory.LOOK_UP_PATH
-            val handler = if (lookUp) directory.lookUpHandler else directory.pinHandler
+            val isLookUp = path == PeerSessionDirectory.LOOK_UP_PATH
+            val handler = if (isLookUp) directory.lookUpHandler else directory.pinHandler
             return handler.handle(body).right()
         }
     }
@@ -59,13 +59,14 @@
         issuedAt: Long = 0,
     ) = SessionPin(key, ModelVersionId.parse(version), issuedAt)
 
-    /** A router that came after the session began and remembers nothing. */
-    private fun lateRouter(): PeerSessionDirectory {
+    /** Creates the directory of a router that joined after the session began and remembers no pins. */
+    private fun newRouter(): PeerSessionDirectory {
         val view = FixedFleetView(members[0].copy(id = RouterId("late")), members)
-        return PeerSessionDirectory(LocalSessionDirectory(SessionSettings()), view, Wire(), timeout = 5.seconds)
+        val local = LocalSessionDirectory(SessionSettings())
+        return PeerSessionDirectory(local, view, InProcessTransport(), timeout = 5.seconds)
     }
 
-    private fun versionsEverywhere() =
+    private fun versionsOnAllRouters() =
         directories.map {
             it
                 .refresh(key)
@@ -84,40 +85,40 @@
         }
 
         @Test
-        fun `that began on two routers at once keeps one version`() {
+        fun `that begins on two routers concurrently keeps one version`() {
             directories[0].remember(pin("slate@2", issuedAt = 5)).join()
             val second = directories[1].remember(pin("slate@1", issuedAt = 9)).join()
 
             expectThat(second).isEqualTo(pin("slate@2", issuedAt = 5))
-            expectThat(versionsEverywhere()).isEqualTo(List(5) { "slate@2" })
+            expectThat(versionsOnAllRouters()).isEqualTo(List(5) { "slate@2" })
         }
 
         @Test
-        fun `that has moved once is moved for every router, whatever they remember`() {
+        fun `that has moved has the new version on every router, whatever pins they cached`() {
             directories[0].remember(pin("slate@1")).join()
             directories.forEach { it.lookUp(key).join() }
             directories[3].move(pin("slate@1"), pin("slate@1").movedTo(ModelVersionId.parse("slate@2")))
 
-            expectThat(versionsEverywhere()).isEqualTo(List(5) { "slate@2" })
+            expectThat(versionsOnAllRouters()).isEqualTo(List(5) { "slate@2" })
         }
 
         @Test
-        fun `is found while any one router is down`() {
+        fun `is found while any one router is unreachable`() {
             directories[0].remember(pin("slate@1")).join()
 
             members.drop(1).forEach { lost ->
-                down.clear()
-                down += lost
-                expectThat(lateRouter().lookUp(key).join()).isEqualTo(pin("slate@1"))
+                unreachable.clear()
+                unreachable += lost
+                expectThat(newRouter().lookUp(key).join()).isEqualTo(pin("slate@1"))
             }
         }
 
         @Test
-        fun `is unknown where no holder can be reached`() {
+        fun `is unknown to a router that can reach no holder`() {
             directories[0].remember(pin("slate@1")).join()
-            down += members
+            unreachable += members
 
-            expectThat(lateRouter().lookUp(key).join()).isNull()
+            expectThat(newRouter().lookUp(key).join()).isNull()
         }
     }
 }
