--- a/router/src/main/kotlin/dev/almondhaven/router/AnswerWriter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/AnswerWriter.kt
@@ -23,7 +23,7 @@
         onFailedFrame: (Refusal) -> Unit,
     ): HttpResponse =
         when (answer) {
-            is Answer.Whole -> HttpResponse.of(buildHeaders(exchange, answer.status, answer.contentType), answer.body)
+            is Answer.Complete -> HttpResponse.of(buildHeaders(exchange, answer.status, answer.contentType), answer.body)
             is Answer.Streamed -> streamResponse(exchange, answer, onFailedFrame)
             is Answer.Refused -> errorResponse(exchange, answer.refusal)
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/Router.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/Router.kt
@@ -18,21 +18,21 @@
 import dev.almondhaven.router.claim.IdempotencyOutcomeFilter
 import dev.almondhaven.router.controller.CatalogueHolder
 import dev.almondhaven.router.controller.ConfigurationWatcher
-import dev.almondhaven.router.controller.guardedObjects
+import dev.almondhaven.router.controller.guardedObjectStore
+import dev.almondhaven.router.endpoint.AdmissionQueue
 import dev.almondhaven.router.endpoint.Dispatcher
 import dev.almondhaven.router.endpoint.EndpointClients
 import dev.almondhaven.router.endpoint.EndpointDirectory
 import dev.almondhaven.router.endpoint.LoadReportPoller
-import dev.almondhaven.router.endpoint.WaitingRoom
 import dev.almondhaven.router.filter.AdmissionFilter
-import dev.almondhaven.router.filter.ConfigurationAgeFilter
-import dev.almondhaven.router.filter.DomainServiceFilter
+import dev.almondhaven.router.filter.AuthenticationFilter
 import dev.almondhaven.router.filter.EndpointChoiceFilter
-import dev.almondhaven.router.filter.IdentifyFilter
 import dev.almondhaven.router.filter.ModelListFilter
+import dev.almondhaven.router.filter.OutOfServiceDomainFilter
 import dev.almondhaven.router.filter.ParseFilter
 import dev.almondhaven.router.filter.RequestHandler
 import dev.almondhaven.router.filter.RetryFilter
+import dev.almondhaven.router.filter.StaleConfigurationFilter
 import dev.almondhaven.router.filter.filterChain
 import dev.almondhaven.router.limit.UsageLimiter
 import dev.almondhaven.router.order.EngineOrderController
@@ -75,10 +75,10 @@
     private val workers = EndpointClients.newWorkers(Runtime.getRuntime().availableProcessors())
     private val clients = EndpointClients(workers, settings.endpoints.connectTimeout, settings.endpoints.pingInterval)
     private val peers = PeerNetwork.open(settings.peers, settings.process.failureDomain)
-    private val objects = guardedObjects(platformObjects, settings.platform, clock, metrics) { peers.view.members.size }
+    private val objects = guardedObjectStore(platformObjects, settings.platform, clock, metrics) { peers.view.members.size }
     private val sessions = SessionModule(settings.sessions, peers)
     private val endpointDirectory = EndpointDirectory(catalogueHolder, peers.view, clock)
-    private val waitingRoom = WaitingRoom(clock)
+    private val admissionQueue = AdmissionQueue(clock)
     private val limiter = UsageLimiter(catalogueHolder, peers.view, clock)
     private val loadReports = LoadReportPoller(endpointDirectory, clients, clock, settings.endpoints.statusInterval)
     private val peerController = settings.peers?.let { PeerController(peers, it, catalogueHolder, freshness, clock) }
@@ -116,9 +116,9 @@
     private fun start() {
         registerGauges()
         peers.topics.register(limiter.gossip)
-        clients.whenConnectionCloses { address ->
+        clients.onConnectionClosed { address ->
             endpointDirectory.recordConnectionLost(address)
-            loadReports.pollSoon(address)
+            loadReports.pollNow(address)
         }
         watcher.start()
         engineOrders.start()
@@ -160,10 +160,10 @@
     private fun buildFilterChain(): RequestHandler =
         filterChain(
             listOf(
-                ConfigurationAgeFilter({ catalogueHolder.generation }, statusReporter::staleSince),
+                StaleConfigurationFilter({ catalogueHolder.generation }, statusReporter::staleSince),
                 IdempotencyOutcomeFilter,
-                DomainServiceFilter(catalogueHolder, settings.process.failureDomain),
-                IdentifyFilter(catalogueHolder),
+                OutOfServiceDomainFilter(catalogueHolder, settings.process.failureDomain),
+                AuthenticationFilter(catalogueHolder),
                 ParseFilter(catalogueHolder),
                 ModelListFilter(catalogueHolder),
                 sessions.createFilter(catalogueHolder),
@@ -171,7 +171,7 @@
                 claims.filter,
                 modelSelection.createFilter(),
                 RetryFilter(settings.endpoints, clock),
-                EndpointChoiceFilter(endpointDirectory, waitingRoom, clock),
+                EndpointChoiceFilter(endpointDirectory, admissionQueue, clock),
             ),
             Dispatcher(
                 catalogueHolder,
@@ -234,7 +234,7 @@
         billing.close()
         watcher.close()
         loadReports.close()
-        waitingRoom.close()
+        admissionQueue.close()
         limiter.close()
         endpointDirectory.close()
         peers.close()
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingController.kt
@@ -5,8 +5,8 @@
 import dev.almondhaven.billing.BillingRecord
 import dev.almondhaven.billing.SealedBatch
 import dev.almondhaven.decision.billing.BillingOutbox
-import dev.almondhaven.decision.billing.HeldCopies
 import dev.almondhaven.decision.billing.OutboxLimits
+import dev.almondhaven.decision.billing.PeerBatchCopies
 import dev.almondhaven.decision.membership.Member
 import dev.almondhaven.decision.membership.RendezvousHash
 import dev.almondhaven.model.LogEvent
@@ -14,7 +14,7 @@
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.peer.PeerProtocol
 import dev.almondhaven.router.RouterMetrics
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.peer.PeerError
 import dev.almondhaven.router.peer.PeerNetwork
 import dev.almondhaven.router.settings.BillingSettings
@@ -41,8 +41,8 @@
     private val network: PeerNetwork,
     metrics: RouterMetrics,
 ) : AutoCloseable {
-    private val outbox = BillingOutbox(network.self.id, OutboxLimits(records = settings.records))
-    private val peerCopies = HeldCopies(settings.records)
+    private val outbox = BillingOutbox(network.self.id, OutboxLimits(maxRecords = settings.records))
+    private val peerCopies = PeerBatchCopies(settings.records)
     private val maxCopiedRecords = settings.records
     private val requestersByBatch = ConcurrentHashMap<BatchName, Member>()
     private val releasedBatches = ArrayList<BatchName>()
@@ -51,7 +51,7 @@
 
     /** Only accessed by the thread of [actor]. */
     private var closing = false
-    private val actor = DutyThread.start("billing", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::handle)
+    private val actor = ActorThread.start("billing", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::handle)
 
     init {
         network.handlers.register(HOLD_PATH, ::handleHold)
@@ -96,8 +96,8 @@
     }
 
     private fun markStored(message: BillingMessage.BatchesStored) {
-        message.names.forEach { if (outbox.stored(it)) releasedBatches += it }
-        outbox.resendNow(clock.nanos())
+        message.names.forEach { if (outbox.markStored(it)) releasedBatches += it }
+        outbox.resetResendDelays(clock.nanos())
     }
 
     /**
@@ -107,7 +107,7 @@
     private fun flush() {
         closing = true
         seal(force = true)
-        outbox.makeAllDue(clock.nanos())
+        outbox.resendAllNow(clock.nanos())
     }
 
     private fun holdCopies(request: HoldCopiesRequest) {
@@ -118,7 +118,7 @@
     private fun tick() {
         seal(force = false)
         copyToPeer()
-        outbox.due(clock.nanos(), BATCHES_PER_MESSAGE).forEach(::sendToWriter)
+        outbox.takeDue(clock.nanos(), BATCHES_PER_MESSAGE).forEach(::sendToWriter)
         peerCopies.takeOrphans(liveRouters(), clock.nanos()).forEach(::takeOver)
     }
 
@@ -157,7 +157,7 @@
     /** Sends a peer copies of the batches that no live router holds, and the names of the copies that it may drop. */
     private fun copyToPeer() {
         val peer = copyPeerOrNull() ?: return
-        val batches = outbox.uncopied(liveRouters(), BATCHES_PER_MESSAGE).filter { copiesInFlight.add(it.name) }
+        val batches = outbox.withoutCopy(liveRouters(), BATCHES_PER_MESSAGE).filter { copiesInFlight.add(it.name) }
         if (batches.isEmpty() && releasedBatches.size < RELEASES_PER_MESSAGE) return
         val request = HoldCopiesRequest(batches, releasedBatches.toList())
         releasedBatches.clear()
@@ -173,7 +173,7 @@
 
     private fun completeCopy(message: BillingMessage.CopyCompleted) {
         copiesInFlight -= message.names.toSet()
-        message.holder?.let { holder -> message.names.forEach { outbox.copied(it, holder) } }
+        message.holder?.let { holder -> message.names.forEach { outbox.markCopied(it, holder) } }
     }
 
     private fun sendToWriter(batch: SealedBatch) {
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingWriter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingWriter.kt
@@ -4,7 +4,7 @@
 import dev.almondhaven.billing.BillingObject
 import dev.almondhaven.billing.SealedBatch
 import dev.almondhaven.model.LogEvent
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.store.BillingStore
 import dev.almondhaven.store.PlatformError
 import io.github.oshai.kotlinlogging.KotlinLogging
@@ -29,7 +29,7 @@
 
     @Volatile
     private var unwrittenBatches = 0
-    private val actor = DutyThread.start("billing-store", MAILBOX_CAPACITY, writeInterval, ::write, ::accept)
+    private val actor = ActorThread.start("billing-store", MAILBOX_CAPACITY, writeInterval, ::write, ::accept)
 
     /** Queues [batch] to be stored; false if the mailbox is full. */
     fun offer(batch: SealedBatch): Boolean = actor.offer(batch)
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimFilter.kt
@@ -69,7 +69,7 @@
         }
         val key = ClaimKey(exchange.organisation.id, call.service, keyText)
         return when (val placement = ClaimPlacement.of(key, wallMillis())) {
-            is ClaimPlacement.In -> {
+            is ClaimPlacement.InShard -> {
                 PlacedRequest(placement.shard, createRequest(exchange, call, key)).right()
             }
 
@@ -78,9 +78,9 @@
                     .left()
             }
 
-            is ClaimPlacement.Ahead -> {
-                if (placement.certain) exchange.journal.recordFirstUse()
-                val outcome = if (placement.certain) Outcome.NOT_RUN else Outcome.UNKNOWN
+            is ClaimPlacement.InFuture -> {
+                if (placement.neverAccepted) exchange.journal.recordFirstUse()
+                val outcome = if (placement.neverAccepted) Outcome.NOT_RUN else Outcome.UNKNOWN
                 Refusal(ResultCode.CLAIM_KEY_AHEAD, "the key's time is in the future", outcome).left()
             }
         }
@@ -93,7 +93,7 @@
     ): ClaimRequest {
         val requestLine = "${exchange.method} ${call.path}\n".toByteArray()
         val requestDigest = Digest.of(requestLine + exchange.body.array())
-        return ClaimRequest(key.digest, requestDigest, wallMillis(), exchange.journal.firstUseProven)
+        return ClaimRequest(key.digest, requestDigest, wallMillis(), exchange.journal.firstUseConfirmed)
     }
 
     private data class PlacedRequest(
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
@@ -115,7 +115,7 @@
     /** Requests the status of [attempt] from its holder; null if the holder can't be reached. */
     fun requestStatus(attempt: Attempt): CompletableFuture<AttemptStatus?> {
         if (attempt.holder == view().self.id) {
-            return CompletableFuture.completedFuture(ledger.ask(attempt, clock.nanos()))
+            return CompletableFuture.completedFuture(ledger.statusAt(attempt, clock.nanos()))
         }
         val holder = holderOrNull(attempt) ?: return CompletableFuture.completedFuture(null)
         val message = AttemptStatusRequest(attempt)
@@ -149,7 +149,7 @@
         val request = json.decodeFromString(AttemptStatusRequest.serializer(), body)
         return json.encodeToString(
             AttemptStatusResponse.serializer(),
-            AttemptStatusResponse(ledger.ask(request.attempt, clock.nanos())),
+            AttemptStatusResponse(ledger.statusAt(request.attempt, clock.nanos())),
         )
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimSweeper.kt
@@ -5,7 +5,7 @@
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.decision.membership.RendezvousHash
 import dev.almondhaven.model.LogEvent
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.store.ObjectStore
 import io.github.oshai.kotlinlogging.KotlinLogging
 import kotlin.time.Duration.Companion.minutes
@@ -21,7 +21,7 @@
     private val view: () -> FleetView,
     private val wallMillis: () -> Long,
 ) : AutoCloseable {
-    private val actor = DutyThread.start<Unit>("claims-sweep", MAILBOX_CAPACITY, INTERVAL, ::sweepIfAssigned) { }
+    private val actor = ActorThread.start<Unit>("claims-sweep", MAILBOX_CAPACITY, INTERVAL, ::sweepIfAssigned) { }
 
     private fun sweepIfAssigned() {
         val minute = wallMillis() / INTERVAL.inWholeMilliseconds
@@ -34,7 +34,7 @@
         var deleted = 0
         while (deleted < MAX_DELETIONS) {
             val page = objects.list(ClaimPlacement.DATED_PREFIX, limit = PAGE_SIZE).getOrNull() ?: break
-            val expired = page.objects.filter { ClaimPlacement.deletable(ClaimShard(it.key.value), wallMillis()) }
+            val expired = page.objects.filter { ClaimPlacement.isDeletable(ClaimShard(it.key.value), wallMillis()) }
             val deletedOfPage = expired.count { objects.delete(it.key, it.version).isRight() }
             deleted += deletedOfPage
             if (deletedOfPage < PAGE_SIZE) break
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
@@ -10,7 +10,7 @@
 import dev.almondhaven.decision.claim.ShardWriterLimits
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.store.ObjectKey
 import dev.almondhaven.store.ObjectStore
 import dev.almondhaven.store.ObjectVersion
@@ -82,8 +82,8 @@
         index: Int,
     ) {
         private val shards = HashMap<ClaimShard, ActiveShard>()
-        val actor: DutyThread<Submission> =
-            DutyThread.start("claims-$index", MAILBOX_CAPACITY, TICK_INTERVAL, ::advanceAll, ::accept)
+        val actor: ActorThread<Submission> =
+            ActorThread.start("claims-$index", MAILBOX_CAPACITY, TICK_INTERVAL, ::advanceAll, ::accept)
 
         private fun accept(submission: Submission) {
             val shard = shards.getOrPut(submission.shard) { ActiveShard(submission.shard) }
@@ -95,7 +95,7 @@
 
         private fun advanceAll() {
             shards.values.forEach { it.advance() }
-            shards.values.removeIf { it.writer.pending == 0 && clock.elapsed(it.lastUsedAt) > SHARD_IDLE_TIMEOUT }
+            shards.values.removeIf { it.writer.pendingCount == 0 && clock.elapsed(it.lastUsedAt) > SHARD_IDLE_TIMEOUT }
         }
     }
 
@@ -117,7 +117,7 @@
                         ShardStep.Read -> read()
                         is ShardStep.Write -> write(step)
                     }
-                writer.takeSettled().forEach { it.token.complete(it.verdict) }
+                writer.drainSettled().forEach { it.token.complete(it.verdict) }
             }
         }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
@@ -5,11 +5,11 @@
 import com.linecorp.armeria.common.MediaType
 import dev.almondhaven.decision.claim.AttemptLedger
 import dev.almondhaven.decision.claim.ClaimAction
-import dev.almondhaven.decision.claim.ClaimProcess
 import dev.almondhaven.decision.claim.ClaimRequest
 import dev.almondhaven.decision.claim.ClaimShard
-import dev.almondhaven.decision.claim.DispatchEnd
-import dev.almondhaven.decision.claim.RecordedAnswer
+import dev.almondhaven.decision.claim.ClaimStateMachine
+import dev.almondhaven.decision.claim.DispatchResult
+import dev.almondhaven.decision.claim.RecordedResponse
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.Outcome
@@ -28,7 +28,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Executes the actions that a [ClaimProcess] decides on for one call, on the event loop of the exchange. */
+/** Executes the actions that a [ClaimStateMachine] decides on for one call, on the event loop of the exchange. */
 internal class ClaimedCallExecution(
     private val shard: ClaimShard,
     request: ClaimRequest,
@@ -39,13 +39,13 @@
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
 ) : DispatchGate {
-    private val attempt = ledger.open(dispatchDeadline)
-    private val process = ClaimProcess(request, attempt, ledger)
+    private val attempt = ledger.issue(dispatchDeadline)
+    private val process = ClaimStateMachine(request, attempt, ledger)
     private val answer = CompletableFuture<Answer>()
     private var dispatchStarted = false
 
     // A dispatched call counts as running until it ends, even if its caller has disconnected.
-    private val releaseJournalHold = exchange.journal.hold()
+    private val releaseJournalHold = exchange.journal.deferEnd()
 
     /** Starts the call; the answer is completed by the deadline of the exchange at the latest. */
     fun start(): CompletableFuture<Answer> {
@@ -59,9 +59,9 @@
         return answer
     }
 
-    override fun tryPass(): Boolean = ledger.tryDispatch(attempt, clock.nanos())
+    override fun tryAcquire(): Boolean = ledger.tryDispatch(attempt, clock.nanos())
 
-    override fun notSent(): Unit = ledger.notSent(attempt)
+    override fun releaseUnsent(): Unit = ledger.undoDispatch(attempt)
 
     private fun run(actions: List<ClaimAction>): Unit = actions.forEach(::run)
 
@@ -70,22 +70,22 @@
             is ClaimAction.Submit -> submit(action)
             is ClaimAction.Record -> peerProtocol.settle(shard, action.operation)
             ClaimAction.Dispatch -> dispatch()
-            is ClaimAction.Ask -> if (action.later) runLater { requestStatus(action) } else requestStatus(action)
-            ClaimAction.Pause -> runLater { run(process.onPauseEnded()) }
+            is ClaimAction.QueryStatus -> if (action.afterDelay) runLater { requestStatus(action) } else requestStatus(action)
+            ClaimAction.Delay -> runLater { run(process.onDelayElapsed()) }
             ClaimAction.Deliver, is ClaimAction.Fail -> error("action is only valid at the end of a dispatch: $action")
-            is ClaimAction.Replay -> replay(action.answer)
+            is ClaimAction.Replay -> replay(action.response)
             is ClaimAction.Refuse -> refuse(action)
         }
     }
 
     private fun submit(action: ClaimAction.Submit) {
         peerProtocol.settle(shard, action.operation).whenCompleteAsync(
-            { verdict, failure -> run(if (failure == null) process.onVerdict(verdict) else process.onDropped()) },
+            { verdict, failure -> run(if (failure == null) process.onVerdict(verdict) else process.onRejected()) },
             exchange.eventLoop,
         )
     }
 
-    private fun requestStatus(action: ClaimAction.Ask) {
+    private fun requestStatus(action: ClaimAction.QueryStatus) {
         peerProtocol.requestStatus(action.attempt).whenCompleteAsync(
             { status, _ -> run(process.onStatus(action.attempt, status, peerProtocol.isHolderAlive(action.attempt))) },
             exchange.eventLoop,
@@ -108,8 +108,8 @@
 
     private fun onDispatchEnded(result: Answer) {
         val refusal = (result as? Answer.Refused)?.refusal
-        val end = if (refusal == null) DispatchEnd.Answered(toRecordedAnswer(result)) else DispatchEnd.Failed
-        process.onDispatchEnded(end).forEach { action ->
+        val end = if (refusal == null) DispatchResult.Answered(toRecordedAnswer(result)) else DispatchResult.Failed
+        process.onDispatchResult(end).forEach { action ->
             when {
                 action == ClaimAction.Deliver -> answer.complete(result)
                 action is ClaimAction.Fail && refusal != null -> fail(refusal, action.outcome)
@@ -127,17 +127,17 @@
         answer.complete(Answer.Refused(refusal.copy(outcome = outcome)))
     }
 
-    private fun toRecordedAnswer(result: Answer): RecordedAnswer? {
+    private fun toRecordedAnswer(result: Answer): RecordedResponse? {
         val complete =
-            (result as? Answer.Whole)?.takeIf { it.body.length() <= MAX_RECORDED_ANSWER_BYTES } ?: return null
+            (result as? Answer.Complete)?.takeIf { it.body.length() <= MAX_RECORDED_ANSWER_BYTES } ?: return null
         val body = Base64.getEncoder().encodeToString(complete.body.array())
-        return RecordedAnswer(complete.status.code(), complete.contentType.toString(), body)
+        return RecordedResponse(complete.status.code(), complete.contentType.toString(), body)
     }
 
-    private fun replay(recorded: RecordedAnswer) {
+    private fun replay(recorded: RecordedResponse) {
         exchange.journal.addAnswerHeader("x-almondhaven-replayed", "true")
         val body = HttpData.wrap(Base64.getDecoder().decode(recorded.body))
-        answer.complete(Answer.Whole(HttpStatus.valueOf(recorded.status), MediaType.parse(recorded.contentType), body))
+        answer.complete(Answer.Complete(HttpStatus.valueOf(recorded.status), MediaType.parse(recorded.contentType), body))
     }
 
     private fun refuse(action: ClaimAction.Refuse) {
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/IdempotencyOutcomeFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/IdempotencyOutcomeFilter.kt
@@ -41,7 +41,7 @@
         answer: Answer,
     ): Answer {
         val refusal = (answer as? Answer.Refused)?.refusal ?: return answer
-        val uncertain = refusal.outcome == Outcome.NOT_RUN && !exchange.journal.firstUseProven
+        val uncertain = refusal.outcome == Outcome.NOT_RUN && !exchange.journal.firstUseConfirmed
         if (!uncertain || refusal.code in alwaysRejected) return answer
         return Answer.Refused(refusal.copy(outcome = Outcome.UNKNOWN))
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
@@ -14,8 +14,8 @@
 import dev.almondhaven.model.FailureDomainId
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.controller.CatalogueHolder
-import dev.almondhaven.router.controller.DutyThread
 import dev.almondhaven.router.settings.EngineOrderSettings
 import dev.almondhaven.store.ObjectKey
 import dev.almondhaven.store.ObjectStore
@@ -36,13 +36,13 @@
     private val view: FleetView,
     private val objects: ObjectStore,
     private val clock: NanoClock,
-    private val leaseSettings: LeaseSettings = LeaseSettings(longestOrder = settings.callTimeout),
+    private val leaseSettings: LeaseSettings = LeaseSettings(orderLifetime = settings.callTimeout),
 ) : AutoCloseable {
     private val client = EngineClient(settings.callTimeout)
     private val groupsByDomain = HashMap<FailureDomainId, EngineGroup>()
 
     @Volatile
-    private var actor: DutyThread<Unit>? = null
+    private var actor: ActorThread<Unit>? = null
 
     private class EngineGroup(
         val lease: ObjectStoreLease,
@@ -54,7 +54,7 @@
     /** Starts the reconciliation if the settings enable it. */
     fun start() {
         if (!settings.enabled) return
-        actor = DutyThread.start("engine-orders", MAILBOX_CAPACITY, settings.interval, onTick = ::tick) { tick() }
+        actor = ActorThread.start("engine-orders", MAILBOX_CAPACITY, settings.interval, onTick = ::tick) { tick() }
     }
 
     private fun tick() {
@@ -117,7 +117,7 @@
         loadSpacing: Duration,
     ) {
         val fencingToken = group.lease.fencingTokenOrNull() ?: return
-        if (order.loads) group.nextLoadAt = clock.nanos() + loadSpacing.inWholeNanoseconds
+        if (order.startsLoad) group.nextLoadAt = clock.nanos() + loadSpacing.inWholeNanoseconds
         val status = client.sendOrder(order.endpoint, EngineOrder(fencingToken, order.versions)).join()
         val event = if (status == HttpStatus.OK) LogEvent.ENGINE_ORDER_TAKEN else LogEvent.ENGINE_ORDER_FAILED
         event.log(logger) {
--- a/router/src/main/kotlin/dev/almondhaven/router/order/ObjectStoreLease.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/ObjectStoreLease.kt
@@ -27,7 +27,7 @@
     private val lease = Lease(self, settings) { UUID.randomUUID().toString() }
 
     /** The fencing token of the lease; null if this router doesn't hold it, or holds it too close to its expiry. */
-    fun fencingTokenOrNull(): Long? = lease.fencing(clock.nanos())
+    fun fencingTokenOrNull(): Long? = lease.fencingToken(clock.nanos())
 
     /**
      * Makes the next call that acquiring or renewing the lease requires, if one is due; [wanted] tells whether this
@@ -43,9 +43,9 @@
 
     private fun read() {
         val found = objects.get(key)
-        found.fold({ lease.failed() }) { stored ->
+        found.fold({ lease.onFailure() }) { stored ->
             val record = stored?.let { PeerProtocol.json.decodeFromString(LeaseRecord.serializer(), it.value) }
-            lease.read(clock.nanos(), record?.let { VersionedLease(it, stored.version.value) })
+            lease.onRead(clock.nanos(), record?.let { VersionedLease(it, stored.version.value) })
         }
     }
 
@@ -53,8 +53,13 @@
         val condition = call.version?.let { WriteCondition.AtVersion(ObjectVersion(it)) } ?: WriteCondition.Absent
         val text = PeerProtocol.json.encodeToString(LeaseRecord.serializer(), call.record)
         when (val result = objects.put(key, text, condition)) {
-            is Either.Right -> lease.written(clock.nanos(), result.value.value)
-            is Either.Left -> if (result.value == PlatformError.ConditionFailed) lease.conflicted() else lease.failed()
+            is Either.Right -> {
+                lease.onWritten(clock.nanos(), result.value.value)
+            }
+
+            is Either.Left -> {
+                if (result.value == PlatformError.ConditionFailed) lease.onConflict() else lease.onFailure()
+            }
         }
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
@@ -8,7 +8,7 @@
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.model.TaskClass
 import dev.almondhaven.router.controller.ChoiceController
-import dev.almondhaven.router.controller.EvidenceReading
+import dev.almondhaven.router.controller.EvidenceUpdate
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.builtins.ListSerializer
 import kotlinx.serialization.json.Json
@@ -24,7 +24,7 @@
         val messages = mutableListOf<EvidenceMessage>()
         var remainingBytes = budgetBytes - MAX_READING_BYTES
         while (remainingBytes > 0) {
-            val message = EvidenceMessage.of(controller.nextReading() ?: break)
+            val message = EvidenceMessage.of(controller.nextEvidenceUpdate() ?: break)
             messages += message
             remainingBytes -= message.estimatedBytes
         }
@@ -43,7 +43,7 @@
     }
 }
 
-/** Wire form of an [EvidenceReading]. */
+/** Wire form of an [EvidenceUpdate]. */
 @Serializable
 private data class EvidenceMessage(
     val origin: RouterId,
@@ -56,15 +56,15 @@
     val estimatedBytes: Int get() =
         FIELD_NAMES_BYTES + origin.value.length + "$version".length + taskClass.value.length + counts.length
 
-    fun toReadingOrNull(): EvidenceReading? {
+    fun toReadingOrNull(): EvidenceUpdate? {
         val tally = Tally.parseOrNull(counts) ?: return null
-        return EvidenceReading(EvidenceCell(origin, EvidenceSubject(version, definedIn, taskClass), bucket), tally)
+        return EvidenceUpdate(EvidenceCell(origin, EvidenceSubject(version, definedIn, taskClass), bucket), tally)
     }
 
     companion object {
         private const val FIELD_NAMES_BYTES = 110
 
-        fun of(reading: EvidenceReading): EvidenceMessage {
+        fun of(reading: EvidenceUpdate): EvidenceMessage {
             val (origin, subject, bucket) = reading.cell
             return EvidenceMessage(
                 origin,
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/PeerController.kt
@@ -10,7 +10,7 @@
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.RouterId
-import dev.almondhaven.router.controller.DutyThread
+import dev.almondhaven.router.controller.ActorThread
 import dev.almondhaven.router.settings.PeerSettings
 import io.github.oshai.kotlinlogging.KotlinLogging
 import org.apache.commons.rng.simple.RandomSource
@@ -39,12 +39,12 @@
         )
     private val gossip = GossipExchange(membership, configurationHolder, freshness, network.topics)
     private val vmListPoller = settings.vmList?.let { VmListPoller(it) }
-    private var published: FleetView = FleetView.alone(network.self)
-    private val actor: DutyThread<PeerTask>
+    private var published: FleetView = FleetView.ofSelf(network.self)
+    private val actor: ActorThread<PeerTask>
 
     init {
-        membership.lookAt(settings.seeds)
-        actor = DutyThread.start("peers", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::runTask)
+        membership.setContactAddresses(settings.seeds)
+        actor = ActorThread.start("peers", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::runTask)
         network.handlers.register(GossipExchange.PROBE, ::handleProbe)
         network.handlers.register(GossipExchange.INDIRECT_PROBE, ::handleIndirectProbe)
         network.handlers.register(GossipExchange.FETCH) { gossip.answerFetch(it) }
@@ -73,7 +73,7 @@
         }
 
     private fun tick() {
-        vmListPoller?.poll()?.let { membership.lookAt(settings.seeds + it) }
+        vmListPoller?.poll()?.let { membership.setContactAddresses(settings.seeds + it) }
         gossip.tick(clock.nanos()).forEach(::send)
         publish()
     }
@@ -102,7 +102,7 @@
     }
 
     private fun completeRequest(task: PeerTask.CompleteRequest) {
-        gossip.completed(clock.nanos(), task.request, task.result.getOrNull()).forEach(::send)
+        gossip.onCompleted(clock.nanos(), task.request, task.result.getOrNull()).forEach(::send)
     }
 
     private fun leave(task: PeerTask.Leave) {
