--- a/router/src/main/kotlin/dev/almondhaven/router/AnswerWriter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/AnswerWriter.kt
@@ -23,7 +23,7 @@
         onFailedFrame: (Refusal) -> Unit,
     ): HttpResponse =
         when (answer) {
-            is Answer.Complete -> HttpResponse.of(buildHeaders(exchange, answer.status, answer.contentType), answer.body)
+            is Answer.Complete -> HttpResponse.of(headersOf(exchange, answer.status, answer.contentType), answer.body)
             is Answer.Streamed -> streamResponse(exchange, answer, onFailedFrame)
             is Answer.Refused -> errorResponse(exchange, answer.refusal)
         }
@@ -38,7 +38,7 @@
                 if (frame is AnswerFrame.Failed) onFailedFrame(frame.refusal)
                 HttpData.ofUtf8(formatEvent(exchange, frame))
             }
-        return HttpResponse.of(buildHeaders(exchange, HttpStatus.OK, MediaType.EVENT_STREAM), events)
+        return HttpResponse.of(headersOf(exchange, HttpStatus.OK, MediaType.EVENT_STREAM), events)
     }
 
     private fun formatEvent(
@@ -68,7 +68,7 @@
         refusal: Refusal,
     ): String = ErrorBody.of(refusal, exchange.requestId.value).toJson()
 
-    private fun buildHeaders(
+    private fun headersOf(
         exchange: Exchange,
         status: HttpStatus,
         contentType: MediaType,
--- a/router/src/main/kotlin/dev/almondhaven/router/Router.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/Router.kt
@@ -75,7 +75,8 @@
     private val workers = EndpointClients.newWorkers(Runtime.getRuntime().availableProcessors())
     private val clients = EndpointClients(workers, settings.endpoints.connectTimeout, settings.endpoints.pingInterval)
     private val peers = PeerNetwork.open(settings.peers, settings.process.failureDomain)
-    private val objects = guardedObjectStore(platformObjects, settings.platform, clock, metrics) { peers.view.members.size }
+    private val objects =
+        guardedObjectStore(platformObjects, settings.platform, clock, metrics) { peers.view.members.size }
     private val sessions = SessionModule(settings.sessions, peers)
     private val endpointDirectory = EndpointDirectory(catalogueHolder, peers.view, clock)
     private val admissionQueue = AdmissionQueue(clock)
--- a/router/src/main/kotlin/dev/almondhaven/router/billing/BillingWriter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/billing/BillingWriter.kt
@@ -13,9 +13,9 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Stores the batches of several routers in as few objects as possible. The batches of a failed write stay together until
- * a write succeeds: the object name is derived from the batches, so a retry uses the same name and has no effect if the
- * first write did succeed.
+ * Stores the batches of several routers in as few objects as possible. The batches of a failed write stay together
+ * until a write succeeds: the object name is derived from the batches, so a retry uses the same name and has no effect
+ * if the first write did succeed.
  */
 internal class BillingWriter(
     private val store: BillingStore,
@@ -38,8 +38,8 @@
     val unwritten: Int get() = unwrittenBatches + actor.waiting
 
     /**
-     * Writes all accepted batches before it stops. That includes those of other routers, which may stop before they send
-     * their batches again.
+     * Writes all accepted batches before it stops. That includes those of other routers, which may stop before they
+     * send their batches again.
      */
     override fun close() {
         actor.stop()
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
@@ -113,7 +113,7 @@
     }
 
     /** Requests the status of [attempt] from its holder; null if the holder can't be reached. */
-    fun requestStatus(attempt: Attempt): CompletableFuture<AttemptStatus?> {
+    fun queryStatus(attempt: Attempt): CompletableFuture<AttemptStatus?> {
         if (attempt.holder == view().self.id) {
             return CompletableFuture.completedFuture(ledger.statusAt(attempt, clock.nanos()))
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
@@ -40,7 +40,7 @@
     private val clock: NanoClock,
 ) : DispatchGate {
     private val attempt = ledger.issue(dispatchDeadline)
-    private val process = ClaimStateMachine(request, attempt, ledger)
+    private val stateMachine = ClaimStateMachine(request, attempt, ledger)
     private val answer = CompletableFuture<Answer>()
     private var dispatchStarted = false
 
@@ -50,12 +50,12 @@
     /** Starts the call; the answer is completed by the deadline of the exchange at the latest. */
     fun start(): CompletableFuture<Answer> {
         val remaining = (exchange.deadline - clock.nanos()).coerceAtLeast(0)
-        val timer = exchange.eventLoop.schedule({ run(process.onDeadline()) }, remaining, TimeUnit.NANOSECONDS)
+        val timer = exchange.eventLoop.schedule({ run(stateMachine.onDeadline()) }, remaining, TimeUnit.NANOSECONDS)
         answer.whenComplete { _, _ ->
             timer.cancel(false)
             if (!dispatchStarted) releaseJournalHold()
         }
-        run(process.start())
+        run(stateMachine.start())
         return answer
     }
 
@@ -70,8 +70,8 @@
             is ClaimAction.Submit -> submit(action)
             is ClaimAction.Record -> peerProtocol.settle(shard, action.operation)
             ClaimAction.Dispatch -> dispatch()
-            is ClaimAction.QueryStatus -> if (action.afterDelay) runLater { requestStatus(action) } else requestStatus(action)
-            ClaimAction.Delay -> runLater { run(process.onDelayElapsed()) }
+            is ClaimAction.QueryStatus -> if (action.afterDelay) defer { queryStatus(action) } else queryStatus(action)
+            ClaimAction.Delay -> defer { run(stateMachine.onDelayElapsed()) }
             ClaimAction.Deliver, is ClaimAction.Fail -> error("action is only valid at the end of a dispatch: $action")
             is ClaimAction.Replay -> replay(action.response)
             is ClaimAction.Refuse -> refuse(action)
@@ -80,14 +80,18 @@
 
     private fun submit(action: ClaimAction.Submit) {
         peerProtocol.settle(shard, action.operation).whenCompleteAsync(
-            { verdict, failure -> run(if (failure == null) process.onVerdict(verdict) else process.onRejected()) },
+            { verdict, failure ->
+                run(if (failure == null) stateMachine.onVerdict(verdict) else stateMachine.onRejected())
+            },
             exchange.eventLoop,
         )
     }
 
-    private fun requestStatus(action: ClaimAction.QueryStatus) {
-        peerProtocol.requestStatus(action.attempt).whenCompleteAsync(
-            { status, _ -> run(process.onStatus(action.attempt, status, peerProtocol.isHolderAlive(action.attempt))) },
+    private fun queryStatus(action: ClaimAction.QueryStatus) {
+        peerProtocol.queryStatus(action.attempt).whenCompleteAsync(
+            { status, _ ->
+                run(stateMachine.onStatus(action.attempt, status, peerProtocol.isHolderAlive(action.attempt)))
+            },
             exchange.eventLoop,
         )
     }
@@ -108,8 +112,9 @@
 
     private fun onDispatchEnded(result: Answer) {
         val refusal = (result as? Answer.Refused)?.refusal
-        val end = if (refusal == null) DispatchResult.Answered(toRecordedAnswer(result)) else DispatchResult.Failed
-        process.onDispatchResult(end).forEach { action ->
+        val dispatchResult =
+            if (refusal == null) DispatchResult.Answered(toRecordedResponse(result)) else DispatchResult.Failed
+        stateMachine.onDispatchResult(dispatchResult).forEach { action ->
             when {
                 action == ClaimAction.Deliver -> answer.complete(result)
                 action is ClaimAction.Fail && refusal != null -> fail(refusal, action.outcome)
@@ -127,9 +132,9 @@
         answer.complete(Answer.Refused(refusal.copy(outcome = outcome)))
     }
 
-    private fun toRecordedAnswer(result: Answer): RecordedResponse? {
+    private fun toRecordedResponse(result: Answer): RecordedResponse? {
         val complete =
-            (result as? Answer.Complete)?.takeIf { it.body.length() <= MAX_RECORDED_ANSWER_BYTES } ?: return null
+            (result as? Answer.Complete)?.takeIf { it.body.length() <= MAX_RECORDED_RESPONSE_BYTES } ?: return null
         val body = Base64.getEncoder().encodeToString(complete.body.array())
         return RecordedResponse(complete.status.code(), complete.contentType.toString(), body)
     }
@@ -137,7 +142,8 @@
     private fun replay(recorded: RecordedResponse) {
         exchange.journal.addAnswerHeader("x-almondhaven-replayed", "true")
         val body = HttpData.wrap(Base64.getDecoder().decode(recorded.body))
-        answer.complete(Answer.Complete(HttpStatus.valueOf(recorded.status), MediaType.parse(recorded.contentType), body))
+        val status = HttpStatus.valueOf(recorded.status)
+        answer.complete(Answer.Complete(status, MediaType.parse(recorded.contentType), body))
     }
 
     private fun refuse(action: ClaimAction.Refuse) {
@@ -154,7 +160,7 @@
         LogEvent.CLAIM_OUTCOME_UNKNOWN.log(logger) { "request=${exchange.requestId} code=$code attempt=$attempt" }
     }
 
-    private fun runLater(action: () -> Unit) {
+    private fun defer(action: () -> Unit) {
         exchange.eventLoop.schedule(
             { if (!answer.isDone) action() },
             STATUS_POLL_INTERVAL.inWholeNanoseconds,
@@ -163,7 +169,7 @@
     }
 
     private companion object {
-        const val MAX_RECORDED_ANSWER_BYTES = 768
+        const val MAX_RECORDED_RESPONSE_BYTES = 768
         val STATUS_POLL_INTERVAL = 100.milliseconds
         val RETRY_AFTER = 1.seconds
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/IdempotencyOutcomeFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/IdempotencyOutcomeFilter.kt
@@ -10,8 +10,8 @@
 
 /**
  * Changes the outcome of an error from `not_run` to `unknown` if the request carries an idempotency key and an earlier
- * request under the key may have run. `not_run` covers all requests under the key, so it isn't certain for an error that
- * occurs before the claim was read. A caller that sends `Idempotency-Attempt: 1` asserts that there was no earlier
+ * request under the key may have run. `not_run` covers all requests under the key, so it isn't certain for an error
+ * that occurs before the claim was read. A caller that sends `Idempotency-Attempt: 1` asserts that there was no earlier
  * request.
  */
 internal object IdempotencyOutcomeFilter : RequestFilter {
--- a/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/order/EngineOrderController.kt
@@ -26,9 +26,9 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Reconciles the versions that engines have loaded with those that the release notes assign to them. Each failure domain
- * has one lease, normally held by a router of that domain; only the holder of the lease sends orders to the engines of
- * the domain.
+ * Reconciles the versions that engines have loaded with those that the release notes assign to them. Each failure
+ * domain has one lease, normally held by a router of that domain; only the holder of the lease sends orders to the
+ * engines of the domain.
  */
 internal class EngineOrderController(
     private val settings: EngineOrderSettings,
--- a/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/peer/EvidenceTopic.kt
@@ -14,7 +14,7 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonElement
 
-/** Gossips quality evidence about model versions. A message holds as many changed readings as fit its budget. */
+/** Gossips quality evidence about model versions. A message holds as many updates as fit its budget. */
 internal class EvidenceTopic(
     private val controller: ChoiceController,
 ) : GossipTopic {
@@ -22,7 +22,7 @@
 
     override fun nextPayload(budgetBytes: Int): JsonElement? {
         val messages = mutableListOf<EvidenceMessage>()
-        var remainingBytes = budgetBytes - MAX_READING_BYTES
+        var remainingBytes = budgetBytes - MAX_UPDATE_BYTES
         while (remainingBytes > 0) {
             val message = EvidenceMessage.of(controller.nextEvidenceUpdate() ?: break)
             messages += message
@@ -34,10 +34,10 @@
     override fun mergePayload(
         from: RouterId,
         payload: JsonElement,
-    ): Unit = controller.merge(json.decodeFromJsonElement(serializer, payload).mapNotNull { it.toReadingOrNull() })
+    ): Unit = controller.merge(json.decodeFromJsonElement(serializer, payload).mapNotNull { it.toUpdateOrNull() })
 
     private companion object {
-        const val MAX_READING_BYTES = 400
+        const val MAX_UPDATE_BYTES = 400
         val json = Json { ignoreUnknownKeys = true }
         val serializer = ListSerializer(EvidenceMessage.serializer())
     }
@@ -56,7 +56,7 @@
     val estimatedBytes: Int get() =
         FIELD_NAMES_BYTES + origin.value.length + "$version".length + taskClass.value.length + counts.length
 
-    fun toReadingOrNull(): EvidenceUpdate? {
+    fun toUpdateOrNull(): EvidenceUpdate? {
         val tally = Tally.parseOrNull(counts) ?: return null
         return EvidenceUpdate(EvidenceCell(origin, EvidenceSubject(version, definedIn, taskClass), bucket), tally)
     }
@@ -64,15 +64,15 @@
     companion object {
         private const val FIELD_NAMES_BYTES = 110
 
-        fun of(reading: EvidenceUpdate): EvidenceMessage {
-            val (origin, subject, bucket) = reading.cell
+        fun of(update: EvidenceUpdate): EvidenceMessage {
+            val (origin, subject, bucket) = update.cell
             return EvidenceMessage(
                 origin,
                 subject.version,
                 subject.definedIn,
                 subject.taskClass,
                 bucket,
-                reading.tally.toText(),
+                update.tally.toText(),
             )
         }
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/BillingSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/BillingSettings.kt
@@ -9,8 +9,8 @@
  * Settings of billing.
  *
  * @property writeInterval minimum interval between writes by the router that writes for its failure domain.
- * @property records maximum number of records kept in memory while the platform is unavailable, and, separately, maximum
- * number of records of other routers of which copies are kept.
+ * @property records maximum number of records kept in memory while the platform is unavailable; the same number of
+ * records is kept in addition as copies for other routers.
  */
 @Serializable
 public data class BillingSettings(
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/ClaimSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/ClaimSettings.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Settings of claims, which prevent that a non-idempotent call is dispatched twice.
+ * Settings of claims, which prevent a non-idempotent call from being dispatched twice.
  *
  * @property writeInterval minimum interval between writes of one shard.
  * @property dispatchBound time after its arrival within which a call must be dispatched.
--- a/router/src/main/kotlin/dev/almondhaven/router/settings/EndpointSettings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/settings/EndpointSettings.kt
@@ -11,8 +11,8 @@
  * Settings of endpoints and their connections.
  *
  * @property connectTimeout timeout for establishing a connection.
- * @property pingInterval time without received bytes after which an HTTP/2 PING is sent; if it isn't answered within the
- * same time, the connection is closed.
+ * @property pingInterval time without received bytes after which an HTTP/2 PING is sent; if it isn't answered within
+ * the same time, the connection is closed.
  * @property firstByteDeadline longest time to the first token of a streamed answer.
  * @property tokenDeadline longest time between two tokens of a streamed answer.
  * @property callerStall longest time that a caller may read nothing from its streamed answer.
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
@@ -118,15 +118,15 @@
 
         @Test
         fun `reports the status to any router`() {
-            expectThat(routers[1].protocol.requestStatus(attempt).join()).isEqualTo(AttemptStatus.Pending)
+            expectThat(routers[1].protocol.queryStatus(attempt).join()).isEqualTo(AttemptStatus.Pending)
             routers[0].ledger.void(attempt)
-            expectThat(routers[2].protocol.requestStatus(attempt).join()).isEqualTo(AttemptStatus.Void)
+            expectThat(routers[2].protocol.queryStatus(attempt).join()).isEqualTo(AttemptStatus.Void)
         }
 
         @Test
         fun `that is unreachable yields no status`() {
             unreachable += members[0].id
-            val status = routers[1].protocol.requestStatus(attempt).join()
+            val status = routers[1].protocol.queryStatus(attempt).join()
             unreachable.clear()
 
             expectThat(status).isNull()
