--- a/router/src/main/kotlin/dev/almondhaven/router/CallerService.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/CallerService.kt
@@ -40,9 +40,7 @@
     ): HttpResponse =
         HttpResponse.of(
             request.aggregate().handle { aggregated, cause ->
-                if (cause !=
-                    null
-                ) {
+                if (cause != null) {
                     rejectUnreadable(context, request.headers(), cause)
                 } else {
                     handleRequest(context, aggregated)
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocol.kt
@@ -28,14 +28,14 @@
     val attempt: Attempt,
 )
 
-/** The holder's answer to an [AttemptStatusRequest]. */
+/** The holder's response to an [AttemptStatusRequest]. */
 @Serializable
 internal data class AttemptStatusResponse(
     val status: AttemptStatus,
 )
 
 /**
- * Asks the owner of a shard to settle an operation.
+ * Asks the owner of a shard to write an operation.
  *
  * @property number identifies the operation in the [RelayedVerdict] that the owner sends to [from].
  */
@@ -83,7 +83,7 @@
         handlers.register(VERDICT_PATH, ::handleVerdict)
     }
 
-    /** Settles [operation] through the owner of [shard], or directly if the owner doesn't return a verdict in time. */
+    /** Writes [operation] through the owner of [shard], or directly if the owner doesn't return a verdict in time. */
     fun settle(
         shard: ClaimShard,
         operation: ClaimOperation,
--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimWriterPool.kt
@@ -45,7 +45,7 @@
     @Volatile
     private var closing = false
 
-    /** Settles [operation] on [shard]; the future may complete on any thread. */
+    /** Queues [operation] to be written to [shard]; the returned verdict may complete on any thread. */
     fun submit(
         shard: ClaimShard,
         operation: ClaimOperation,
--- a/router/src/main/kotlin/dev/almondhaven/router/session/PeerSessionDirectory.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/session/PeerSessionDirectory.kt
@@ -91,9 +91,7 @@
         return CompletableFuture.allOf(*responses.toTypedArray()).thenApply {
             val received = responses.mapNotNull { it.join() }
             if (received.isEmpty()) {
-                LogEvent.SESSION_HOLDER_SILENT.log(
-                    logger,
-                ) { "session=$key holders=${holders.size}" }
+                LogEvent.SESSION_HOLDER_SILENT.log(logger) { "session=$key holders=${holders.size}" }
             }
             received.mapNotNull { it.pin }
         }
