--- a/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/claim/ClaimedCallExecution.kt
@@ -28,34 +28,34 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Carries out what a [ClaimStateMachine] decides, on the exchange's event loop. */
+/** Executes the actions that a [ClaimStateMachine] decides on for one call, on the event loop of the exchange. */
 internal class ClaimedCallExecution(
     private val shard: ClaimShard,
     request: ClaimRequest,
-    dispatchBy: Long,
+    dispatchDeadline: Long,
     private val exchange: Exchange,
     private val next: RequestHandler,
-    private val peers: ClaimPeerProtocol,
+    private val peerProtocol: ClaimPeerProtocol,
     private val ledger: AttemptLedger,
     private val clock: NanoClock,
 ) : DispatchGate {
-    private val attempt = ledger.issue(dispatchBy)
-    private val process = ClaimStateMachine(request, attempt, ledger)
+    private val attempt = ledger.issue(dispatchDeadline)
+    private val stateMachine = ClaimStateMachine(request, attempt, ledger)
     private val answer = CompletableFuture<Answer>()
-    private var dispatching = false
+    private var dispatchStarted = false
 
-    // A dispatched call counts as running until its own end, also when its caller has left.
-    private val releaseJournal = exchange.journal.deferEnd()
+    // A dispatched call counts as running until it ends, even if its caller has disconnected.
+    private val releaseJournalHold = exchange.journal.deferEnd()
 
-    /** The answer, at the exchange's deadline at the latest. */
+    /** Starts the call; the answer is completed by the deadline of the exchange at the latest. */
     fun start(): CompletableFuture<Answer> {
         val remaining = (exchange.deadline - clock.nanos()).coerceAtLeast(0)
-        val timer = exchange.eventLoop.schedule({ run(process.onDeadline()) }, remaining, TimeUnit.NANOSECONDS)
+        val timer = exchange.eventLoop.schedule({ run(stateMachine.onDeadline()) }, remaining, TimeUnit.NANOSECONDS)
         answer.whenComplete { _, _ ->
             timer.cancel(false)
-            if (!dispatching) releaseJournal()
+            if (!dispatchStarted) releaseJournalHold()
         }
-        run(process.start())
+        run(stateMachine.start())
         return answer
     }
 
@@ -68,35 +68,39 @@
     private fun run(action: ClaimAction) {
         when (action) {
             is ClaimAction.Submit -> submit(action)
-            is ClaimAction.Record -> peers.settle(shard, action.operation)
+            is ClaimAction.Record -> peerProtocol.settle(shard, action.operation)
             ClaimAction.Dispatch -> dispatch()
-            is ClaimAction.QueryStatus -> if (action.afterDelay) later { ask(action) } else ask(action)
-            ClaimAction.Delay -> later { run(process.onDelayElapsed()) }
-            ClaimAction.Deliver, is ClaimAction.Fail -> error("only at the end of a dispatch: $action")
+            is ClaimAction.QueryStatus -> if (action.afterDelay) defer { queryStatus(action) } else queryStatus(action)
+            ClaimAction.Delay -> defer { run(stateMachine.onDelayElapsed()) }
+            ClaimAction.Deliver, is ClaimAction.Fail -> error("action is only valid at the end of a dispatch: $action")
             is ClaimAction.Replay -> replay(action.response)
             is ClaimAction.Refuse -> refuse(action)
         }
     }
 
     private fun submit(action: ClaimAction.Submit) {
-        peers.settle(shard, action.operation).whenCompleteAsync(
-            { verdict, failure -> run(if (failure == null) process.onVerdict(verdict) else process.onRejected()) },
+        peerProtocol.settle(shard, action.operation).whenCompleteAsync(
+            { verdict, failure ->
+                run(if (failure == null) stateMachine.onVerdict(verdict) else stateMachine.onRejected())
+            },
             exchange.eventLoop,
         )
     }
 
-    private fun ask(action: ClaimAction.QueryStatus) {
-        peers.ask(action.attempt).whenCompleteAsync(
-            { status, _ -> run(process.onStatus(action.attempt, status, peers.holderLives(action.attempt))) },
+    private fun queryStatus(action: ClaimAction.QueryStatus) {
+        peerProtocol.queryStatus(action.attempt).whenCompleteAsync(
+            { status, _ ->
+                run(stateMachine.onStatus(action.attempt, status, peerProtocol.isHolderAlive(action.attempt)))
+            },
             exchange.eventLoop,
         )
     }
 
     private fun dispatch() {
         exchange.journal.recordFirstUse()
-        dispatching = true
+        dispatchStarted = true
         next.handle(exchange.with(this)).whenCompleteAsync(
-            { result, failure -> ended(result ?: internalError(failure)) },
+            { result, failure -> onDispatchEnded(result ?: internalError(failure)) },
             exchange.eventLoop,
         )
     }
@@ -106,46 +110,49 @@
         return Answer.Refused(Refusal(ResultCode.INTERNAL_ERROR, "unexpected error", Outcome.UNKNOWN))
     }
 
-    private fun ended(result: Answer) {
+    private fun onDispatchEnded(result: Answer) {
         val refusal = (result as? Answer.Refused)?.refusal
-        val end = if (refusal == null) DispatchResult.Answered(kept(result)) else DispatchResult.Failed
-        process.onDispatchResult(end).forEach { action ->
+        val dispatchResult =
+            if (refusal == null) DispatchResult.Answered(toRecordedResponse(result)) else DispatchResult.Failed
+        stateMachine.onDispatchResult(dispatchResult).forEach { action ->
             when {
                 action == ClaimAction.Deliver -> answer.complete(result)
                 action is ClaimAction.Fail && refusal != null -> fail(refusal, action.outcome)
                 else -> run(action)
             }
         }
-        releaseJournal()
+        releaseJournalHold()
     }
 
     private fun fail(
         refusal: Refusal,
         outcome: Outcome,
     ) {
-        logUnknown(refusal.code, outcome)
+        logIfUnknown(refusal.code, outcome)
         answer.complete(Answer.Refused(refusal.copy(outcome = outcome)))
     }
 
-    private fun kept(result: Answer): RecordedResponse? {
-        val whole = (result as? Answer.Complete)?.takeIf { it.body.length() <= KEPT_ANSWER_BYTES } ?: return null
-        val body = Base64.getEncoder().encodeToString(whole.body.array())
-        return RecordedResponse(whole.status.code(), whole.contentType.toString(), body)
+    private fun toRecordedResponse(result: Answer): RecordedResponse? {
+        val complete =
+            (result as? Answer.Complete)?.takeIf { it.body.length() <= MAX_RECORDED_RESPONSE_BYTES } ?: return null
+        val body = Base64.getEncoder().encodeToString(complete.body.array())
+        return RecordedResponse(complete.status.code(), complete.contentType.toString(), body)
     }
 
-    private fun replay(kept: RecordedResponse) {
+    private fun replay(recorded: RecordedResponse) {
         exchange.journal.addAnswerHeader("x-almondhaven-replayed", "true")
-        val body = HttpData.wrap(Base64.getDecoder().decode(kept.body))
-        answer.complete(Answer.Complete(HttpStatus.valueOf(kept.status), MediaType.parse(kept.contentType), body))
+        val body = HttpData.wrap(Base64.getDecoder().decode(recorded.body))
+        val status = HttpStatus.valueOf(recorded.status)
+        answer.complete(Answer.Complete(status, MediaType.parse(recorded.contentType), body))
     }
 
     private fun refuse(action: ClaimAction.Refuse) {
-        logUnknown(action.code, action.outcome)
+        logIfUnknown(action.code, action.outcome)
         if (action.outcome == Outcome.NOT_RUN) exchange.journal.recordFirstUse()
         answer.complete(Answer.Refused(Refusal(action.code, action.detail, action.outcome, RETRY_AFTER)))
     }
 
-    private fun logUnknown(
+    private fun logIfUnknown(
         code: ResultCode,
         outcome: Outcome,
     ) {
@@ -153,17 +160,17 @@
         LogEvent.CLAIM_OUTCOME_UNKNOWN.log(logger) { "request=${exchange.requestId} code=$code attempt=$attempt" }
     }
 
-    private fun later(action: () -> Unit) {
+    private fun defer(action: () -> Unit) {
         exchange.eventLoop.schedule(
             { if (!answer.isDone) action() },
-            POLL_INTERVAL.inWholeNanoseconds,
+            STATUS_POLL_INTERVAL.inWholeNanoseconds,
             TimeUnit.NANOSECONDS,
         )
     }
 
     private companion object {
-        const val KEPT_ANSWER_BYTES = 768
-        val POLL_INTERVAL = 100.milliseconds
+        const val MAX_RECORDED_RESPONSE_BYTES = 768
+        val STATUS_POLL_INTERVAL = 100.milliseconds
         val RETRY_AFTER = 1.seconds
     }
 }
