--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/AdmissionQueue.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/AdmissionQueue.kt
@@ -13,119 +13,124 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How waiting for an endpoint ended. */
+/** How the wait for an endpoint ended. */
 internal sealed interface QueueResult {
-    /** It is the request's turn at the chosen endpoint. */
+    /** The request leaves the queue with [choice]. */
     data class Admitted(
         val choice: EndpointChoice,
     ) : QueueResult
 
-    /** The request can't be served in time. */
+    /** The request cannot start in time, or its organisation's queue or the mailbox is full. */
     data class Refused(
         val retryAfter: Duration,
     ) : QueueResult
 }
 
-/** A request that waits for an endpoint of one pool. */
+/**
+ * A request that waits for an endpoint of one pool.
+ *
+ * @property choose tries to choose an endpoint and to take a slot there.
+ * @property hasEnded whether the request has ended, for example because its caller has disconnected.
+ */
 internal class WaitingRequest(
     val choose: () -> EndpointChoice,
-    val hasLeft: () -> Boolean,
+    val hasEnded: () -> Boolean,
 ) {
-    val turn: CompletableFuture<QueueResult> = CompletableFuture()
+    val result: CompletableFuture<QueueResult> = CompletableFuture()
 }
 
 /**
- * Where requests wait while every endpoint of their pool is at its limit: one fair queue for each pool, all on one duty
- * thread. A full ring refuses the newcomer; a lost hint that a slot is free is made up for by the next tick.
+ * Queues requests while every endpoint of their pool is at its limit: one fair queue per pool, all on one actor thread.
+ * A full mailbox refuses new requests. If it drops the notice of a freed slot, the next tick serves the queue instead.
  */
 internal class AdmissionQueue(
     private val clock: NanoClock,
 ) : AutoCloseable {
     private sealed interface Message {
-        class Enter(
+        class Enqueue(
             val key: PoolKey,
             val request: QueuedRequest<WaitingRequest>,
         ) : Message
 
-        class SlotFree(
+        class SlotFreed(
             val key: PoolKey,
         ) : Message
     }
 
     private val queues = HashMap<PoolKey, FairQueue<WaitingRequest>>()
     private val counts = ConcurrentHashMap<PoolKey, AtomicInteger>()
-    private val duty = ActorThread.start("waiting", RING_CAPACITY, TICK, ::tick, ::handle)
+    private val actor = ActorThread.start("waiting", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::handle)
 
-    /** Requests that wait for [key]. */
+    /** The number of requests waiting for [key]. */
     fun waiting(key: PoolKey): Int = counts[key]?.get() ?: 0
 
-    /** Lets [request] wait; its turn comes through the waiter's future. */
-    fun enter(
+    /** Adds [request] to the queue for [key]; the future completes when it leaves the queue. */
+    fun enqueue(
         key: PoolKey,
         request: QueuedRequest<WaitingRequest>,
     ): CompletableFuture<QueueResult> {
         count(key).incrementAndGet()
-        if (!duty.offer(Message.Enter(key, request))) leave(key, request, QueueResult.Refused(RETRY_AFTER))
-        return request.value.turn
+        if (!actor.offer(Message.Enqueue(key, request))) finish(key, request, QueueResult.Refused(RETRY_AFTER))
+        return request.value.result
     }
 
-    /** Hints that a slot became free in [key]. */
-    fun slotFree(key: PoolKey) {
-        if (waiting(key) > 0) duty.offer(Message.SlotFree(key))
+    /** Signals that a slot was freed at an endpoint of [key]. */
+    fun slotFreed(key: PoolKey) {
+        if (waiting(key) > 0) actor.offer(Message.SlotFreed(key))
     }
 
-    override fun close(): Unit = duty.close()
+    override fun close(): Unit = actor.close()
 
     private fun handle(message: Message) {
         when (message) {
-            is Message.Enter -> admit(message)
-            is Message.SlotFree -> queues[message.key]?.let { serve(message.key, it) }
+            is Message.Enqueue -> handleEnqueue(message)
+            is Message.SlotFreed -> queues[message.key]?.let { serveWaiting(message.key, it) }
         }
     }
 
-    private fun admit(message: Message.Enter) {
+    private fun handleEnqueue(message: Message.Enqueue) {
         val queue = queues.getOrPut(message.key) { FairQueue() }
         when (val result = queue.offer(message.request, clock.nanos())) {
-            is Enqueued.Refused -> leave(message.key, message.request, QueueResult.Refused(result.retryAfter))
-            Enqueued.Waiting -> serve(message.key, queue)
+            is Enqueued.Refused -> finish(message.key, message.request, QueueResult.Refused(result.retryAfter))
+            Enqueued.Waiting -> serveWaiting(message.key, queue)
         }
     }
 
     private fun tick() {
         val now = clock.nanos()
         queues.forEach { (key, queue) ->
-            queue.expired(now).forEach { leave(key, it, QueueResult.Refused(RETRY_AFTER)) }
-            serve(key, queue)
+            queue.expired(now).forEach { finish(key, it, QueueResult.Refused(RETRY_AFTER)) }
+            serveWaiting(key, queue)
         }
     }
 
-    private fun serve(
+    private fun serveWaiting(
         key: PoolKey,
         queue: FairQueue<WaitingRequest>,
     ) {
         while (true) {
             val next = queue.peek() ?: return
-            val choice = if (next.value.hasLeft()) EndpointChoice.NoneLeft else next.value.choose()
+            val choice = if (next.value.hasEnded()) EndpointChoice.NoneLeft else next.value.choose()
             if (choice is EndpointChoice.AllBusy) return
             queue.poll(clock.nanos())
-            leave(key, next, QueueResult.Admitted(choice))
+            finish(key, next, QueueResult.Admitted(choice))
         }
     }
 
-    private fun leave(
+    private fun finish(
         key: PoolKey,
         request: QueuedRequest<WaitingRequest>,
-        turn: QueueResult,
+        result: QueueResult,
     ) {
         count(key).decrementAndGet()
-        request.value.turn.complete(turn)
+        request.value.result.complete(result)
     }
 
     private fun count(key: PoolKey): AtomicInteger = counts.computeIfAbsent(key) { AtomicInteger() }
 
     private companion object {
-        const val RING_CAPACITY = 8_192
-        val TICK = 10.milliseconds
+        const val MAILBOX_CAPACITY = 8_192
+        val TICK_INTERVAL = 10.milliseconds
         val RETRY_AFTER = 1.seconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/AdmissionFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/AdmissionFilter.kt
@@ -12,8 +12,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Refuses requests beyond the bound on those in flight in this process, and beyond this router's part of the
- * organisation's concurrency and token-rate limits. Nothing of a refused request has run.
+ * Sheds load before a request reaches an endpoint: refuses requests above this process's limit on requests in flight,
+ * and above this router's share of the organisation's concurrency and token-rate limits. A refused request was not run.
  */
 internal class AdmissionFilter(
     private val maximumInFlight: Int,
@@ -27,40 +27,40 @@
     ): CompletableFuture<Answer> {
         if (inFlight.incrementAndGet() > maximumInFlight) {
             inFlight.decrementAndGet()
-            return refuse("$maximumInFlight requests are in flight", RETRY_AFTER)
+            return refuse("this router already has $maximumInFlight requests in flight", RETRY_AFTER)
         }
         exchange.journal.whenEnded { inFlight.decrementAndGet() }
         val use = limiter.of(exchange.organisation)
-        if (!use.tryStart()) return refuse("the organisation's limit of concurrent requests is reached", RETRY_AFTER)
+        if (!use.tryStart()) return refuse("the organisation has reached its limit of concurrent requests", RETRY_AFTER)
         exchange.journal.whenEnded { use.end() }
         val call = exchange.call as? Call.Model ?: return next.handle(exchange)
         return reserve(exchange, call, use) ?: next.handle(exchange)
     }
 
-    /** The refusal when the organisation's token rate is used up; null when tokens were reserved. */
+    /** Reserves the estimated tokens against the organisation's rate limit; returns a refusal when they exceed it. */
     private fun reserve(
         exchange: Exchange,
         call: Call.Model,
         use: OrganisationUse,
     ): CompletableFuture<Answer>? {
-        val estimate = estimate(exchange, call)
-        val wait = use.reserve(estimate)
-        if (wait != null) return refuse("the organisation's token rate is used up", wait)
+        val estimatedTokens = estimateTokens(exchange, call)
+        val retryAfter = use.reserve(estimatedTokens)
+        if (retryAfter != null) return refuse("the organisation has exceeded its token rate limit", retryAfter)
         exchange.journal.whenEnded {
             val usage = exchange.journal.usage
-            val used = if (usage == null) 0 else usage.promptTokens + usage.completionTokens
-            use.settle(estimate, used)
+            val usedTokens = if (usage == null) 0 else usage.promptTokens + usage.completionTokens
+            use.settle(estimatedTokens, usedTokens)
         }
         return null
     }
 
-    private fun estimate(
+    private fun estimateTokens(
         exchange: Exchange,
         call: Call.Model,
     ): Long {
-        val prompt = exchange.body.length() / CHARACTERS_PER_TOKEN
-        val generated = (call.body["max_tokens"] as? JsonPrimitive)?.longOrNull ?: USUAL_GENERATED_TOKENS
-        return prompt + generated.coerceIn(1, LARGEST_RESERVATION)
+        val promptTokens = exchange.body.length() / BODY_BYTES_PER_TOKEN
+        val outputTokens = (call.body["max_tokens"] as? JsonPrimitive)?.longOrNull ?: DEFAULT_OUTPUT_TOKENS
+        return promptTokens + outputTokens.coerceIn(1, MAX_RESERVED_OUTPUT_TOKENS)
     }
 
     private fun refuse(
@@ -70,8 +70,8 @@
 
     private companion object {
         val RETRY_AFTER = 1.seconds
-        const val CHARACTERS_PER_TOKEN = 4
-        const val USUAL_GENERATED_TOKENS = 256L
-        const val LARGEST_RESERVATION = 100_000L
+        const val BODY_BYTES_PER_TOKEN = 4
+        const val DEFAULT_OUTPUT_TOKENS = 256L
+        const val MAX_RESERVED_OUTPUT_TOKENS = 100_000L
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/Answer.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/Answer.kt
@@ -6,43 +6,43 @@
 import com.linecorp.armeria.common.stream.StreamMessage
 import dev.almondhaven.model.Refusal
 
-/** One event of a streamed answer. A stream ends with exactly one [Finished] or [Failed]. */
+/** One element of a streamed answer. A stream ends with exactly one [Finished] or [Failed]. */
 public sealed interface AnswerFrame {
     /**
-     * A chunk of the answer.
+     * One chunk of generated output.
      *
-     * @property sequence position in the answer, from 1.
-     * @property data the engine's JSON chunk.
+     * @property sequence position of the chunk in the answer, starting at 1.
+     * @property data the engine's JSON chunk, unchanged.
      */
     public data class Token(
         public val sequence: Long,
         public val data: String,
     ) : AnswerFrame
 
-    /** The answer is complete. */
+    /** Ends a stream whose answer is complete. */
     public data object Finished : AnswerFrame
 
-    /** The answer stays incomplete. */
+    /** Ends a stream whose answer is incomplete, with the error that the caller gets. */
     public data class Failed(
         public val refusal: Refusal,
     ) : AnswerFrame
 }
 
-/** What a filter gives back for a request. */
+/** The result of handling a request. */
 public sealed interface Answer {
-    /** A complete answer. */
+    /** A non-streaming answer with its whole body. */
     public data class Complete(
         public val status: HttpStatus,
         public val contentType: MediaType,
         public val body: HttpData,
     ) : Answer
 
-    /** An answer that comes in frames. */
+    /** An answer streamed as frames. */
     public class Streamed(
         public val frames: StreamMessage<AnswerFrame>,
     ) : Answer
 
-    /** No answer. */
+    /** An error instead of an answer. */
     public data class Refused(
         public val refusal: Refusal,
     ) : Answer
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/AnswerConfidence.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/AnswerConfidence.kt
@@ -11,51 +11,54 @@
 import kotlinx.serialization.json.doubleOrNull
 
 /**
- * Reads how sure an engine was: from the finish reason and the log-probabilities in its answer or in the chunks of it.
+ * Derives the confidence of an answer from its finish reason and the mean log-probability of its tokens. Accepts a
+ * non-streaming answer or the chunks of a streamed one.
  */
 internal class AnswerConfidence {
-    private var logProbabilities = 0.0
-    private var tokens = 0
-    private var cut = false
+    private var logProbabilitySum = 0.0
+    private var tokenCount = 0
+    private var truncated = false
 
-    /** Takes in a whole answer or one chunk. */
+    /** Adds a non-streaming answer or one chunk of a streamed answer. */
     fun add(answer: JsonObject) {
         val choices = answer["choices"] as? JsonArray ?: return
         choices.filterIsInstance<JsonObject>().forEach { addChoice(it) }
     }
 
-    /** The confidence in what was taken in so far; an engine that gives no finish reason is taken at its word. */
-    fun band(): ConfidenceBand = ConfidenceBand.of(!cut, if (tokens == 0) null else logProbabilities / tokens)
+    /** The confidence in everything added so far. An answer without a finish reason counts as not truncated. */
+    fun band(): ConfidenceBand =
+        ConfidenceBand.of(!truncated, if (tokenCount == 0) null else logProbabilitySum / tokenCount)
 
     private fun addChoice(choice: JsonObject) {
-        if ((choice["finish_reason"] as? JsonPrimitive)?.contentOrNull == LENGTH) cut = true
+        if ((choice["finish_reason"] as? JsonPrimitive)?.contentOrNull == LENGTH_LIMIT_REASON) truncated = true
         val content = (choice["logprobs"] as? JsonObject)?.get("content") as? JsonArray ?: return
         content.forEach { addToken(it) }
     }
 
     private fun addToken(token: JsonElement) {
         val value = ((token as? JsonObject)?.get("logprob") as? JsonPrimitive)?.doubleOrNull ?: return
-        logProbabilities += value
-        tokens++
+        logProbabilitySum += value
+        tokenCount++
     }
 
     companion object {
-        private const val LENGTH = "length"
+        /** The finish reason of an answer that was cut off at its token limit. */
+        private const val LENGTH_LIMIT_REASON = "length"
 
-        /** [body] with a request for log-probabilities. */
-        fun ask(body: JsonObject): JsonObject =
+        /** Returns [body] with log-probabilities requested, unless the caller has set the field. */
+        fun requestLogProbabilities(body: JsonObject): JsonObject =
             if (body["logprobs"] != null) body else JsonObject(body + ("logprobs" to JsonPrimitive(true)))
 
-        /** [text], an answer or chunk, as a JSON object; null when it is none. */
-        fun parse(text: String): JsonObject? =
+        /** Parses an answer or chunk; returns null when [text] is not a JSON object. */
+        fun parseOrNull(text: String): JsonObject? =
             try {
                 Json.parseToJsonElement(text) as? JsonObject
             } catch (_: SerializationException) {
                 null
             }
 
-        /** [answer] without the log-probabilities that the caller didn't ask for. */
-        fun strip(answer: JsonObject): JsonObject {
+        /** Returns [answer] without log-probabilities, for callers that did not request them. */
+        fun removeLogProbabilities(answer: JsonObject): JsonObject {
             val choices = answer["choices"] as? JsonArray ?: return answer
             val stripped = choices.map { if (it is JsonObject) JsonObject(it - "logprobs") else it }
             return JsonObject(answer + ("choices" to JsonArray(stripped)))
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/Attempt.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/Attempt.kt
@@ -4,64 +4,64 @@
 import dev.almondhaven.router.endpoint.EndpointConnection
 import java.util.concurrent.CompletableFuture
 
-/** How an attempt ended, as far as it tells something about its endpoint. */
+/** How an attempt ended, as seen by the health tracking of its endpoint. */
 public enum class AttemptResult {
-    /** The endpoint answered whole. */
+    /** The endpoint sent a complete answer. */
     SUCCEEDED,
 
-    /** The endpoint failed or fell silent. */
+    /** The endpoint returned an error or sent nothing before the deadline. */
     FAILED,
 
-    /** No connection could be opened, or it closed under the attempt: the endpoint may have restarted. */
+    /** No connection could be opened, or it closed during the attempt: the endpoint may have restarted. */
     CONNECTION_LOST,
 
-    /** The endpoint answered that it has too much to do. */
+    /** The endpoint rejected the request because of overload (status 429 or 503). */
     OVERLOADED,
 
-    /** Ended for a reason that isn't the endpoint's, for example a caller that left. */
+    /** Ended for a reason other than the endpoint, for example because the caller disconnected. */
     ABANDONED,
 }
 
-/** One try of a request at one endpoint. Safe to use from any thread. */
+/** One attempt to run a request on one endpoint. Thread-safe. */
 public class Attempt {
     private val ended = CompletableFuture<AttemptResult>()
 
-    /** The endpoint that was chosen for it, if it came so far. */
+    /** The chosen endpoint; null until one is chosen. */
     @Volatile
     public var endpoint: Endpoint? = null
         private set
 
-    /** Monotonic nanoseconds at which the first token or the whole answer came; 0 while there is none. */
+    /** Monotonic nanoseconds at which the first token or a complete answer arrived; 0 before that. */
     @Volatile
     public var firstTokenAt: Long = 0
         private set
 
-    /** The connection that it uses, once it is known. */
+    /** The connection that carries the attempt; null until it is known. */
     @Volatile
     public var connection: EndpointConnection? = null
         private set
 
-    /** Notes the connection. */
+    /** Records the connection that carries the attempt. */
     public fun recordConnection(connection: EndpointConnection) {
         this.connection = connection
     }
 
-    /** Notes the chosen endpoint. */
+    /** Records the chosen endpoint. */
     public fun recordEndpoint(endpoint: Endpoint) {
         this.endpoint = endpoint
     }
 
-    /** Notes that the answer began [now]; only the first call has an effect. */
+    /** Records the arrival of the first token at [now]; later calls have no effect. */
     public fun recordFirstToken(now: Long) {
         if (firstTokenAt == 0L) firstTokenAt = now
     }
 
-    /** Notes the end; only the first call has an effect. */
+    /** Records how the attempt ended; later calls have no effect. */
     public fun recordEnd(result: AttemptResult) {
         ended.complete(result)
     }
 
-    /** Runs [action] once the attempt has ended. */
+    /** Runs [action] when the attempt has ended, at once if it already has. */
     public fun whenEnded(action: (AttemptResult) -> Unit) {
         ended.thenAccept(action)
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/AuthenticationFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/AuthenticationFilter.kt
@@ -7,7 +7,10 @@
 import dev.almondhaven.router.controller.CatalogueHolder
 import java.util.concurrent.CompletableFuture
 
-/** Finds the organisation that owns the request's bearer token. The catalogue holds only digests of tokens. */
+/**
+ * Authenticates the request: finds the organisation that owns its bearer token. The catalogue holds only SHA-256
+ * digests of tokens.
+ */
 internal class AuthenticationFilter(
     private val holder: CatalogueHolder,
 ) : RequestFilter {
@@ -15,10 +18,15 @@
         exchange: Exchange,
         next: RequestHandler,
     ): CompletableFuture<Answer> {
-        if (!holder.configured) return refuse(ResultCode.NOT_CONFIGURED, "no configuration is held yet")
+        if (!holder.configured) {
+            return refuse(
+                ResultCode.NOT_CONFIGURED,
+                "this router has not received a configuration yet",
+            )
+        }
         val header = exchange.headers.get(HttpHeaderNames.AUTHORIZATION).orEmpty()
         if (!header.startsWith(SCHEME, ignoreCase = true)) {
-            return refuse(ResultCode.UNKNOWN_TOKEN, "an Authorization header with a bearer token is needed")
+            return refuse(ResultCode.UNKNOWN_TOKEN, "the request needs an Authorization header with a bearer token")
         }
         val token = header.substring(SCHEME.length).trim()
         val digest = Hashing.sha256().hashString(token, Charsets.UTF_8).toString()
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/Call.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/Call.kt
@@ -6,17 +6,17 @@
 import dev.almondhaven.model.ServiceId
 import kotlinx.serialization.json.JsonObject
 
-/** What a caller named in the `model` field. */
+/** Which models the `model` field of a request admits. */
 public sealed interface ModelSelector {
-    /** The router chooses among all allowed models. */
+    /** Any model that the organisation may use. */
     public data object Any : ModelSelector
 
-    /** The router chooses among the versions of [model]. */
+    /** Any version of [model]. */
     public data class Model(
         public val model: ModelId,
     ) : ModelSelector
 
-    /** Exactly this version. */
+    /** Only the version with this [id]. */
     public data class Version(
         public val id: ModelVersionId,
     ) : ModelSelector
@@ -24,7 +24,7 @@
 
 /** A parsed request. */
 public sealed interface Call {
-    /** Whether running the call twice has the effect of running it once. */
+    /** Whether running the call twice has the same effect as running it once. */
     public val idempotent: Boolean
 
     /**
@@ -32,7 +32,7 @@
      *
      * @property path path on the engine, for example `/v1/chat/completions`.
      * @property body the caller's JSON body.
-     * @property streamed whether the caller wants server-sent events.
+     * @property streamed whether the caller requests the answer as server-sent events.
      */
     public data class Model(
         public val path: String,
@@ -43,7 +43,7 @@
         override val idempotent: Boolean get() = true
     }
 
-    /** A request to a plain service; [path] is the part behind the service's name, with the query. */
+    /** A request to a plain service; [path] is the part after the service name, including the query. */
     public data class Service(
         public val service: ServiceId,
         public val path: String,
@@ -52,7 +52,7 @@
         override val idempotent: Boolean get() = declaration.idempotent
     }
 
-    /** The list of models that the organisation may use. */
+    /** A request for the list of models that the organisation may use. */
     public data object ModelList : Call {
         override val idempotent: Boolean get() = true
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/CascadeRunner.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/CascadeRunner.kt
@@ -14,14 +14,17 @@
 import java.util.concurrent.CompletableFuture
 
 /**
- * Runs two-step cascades: the cheap version first, its answer held back until it is judged, then the strong version if
- * need be. The caller sees no byte of an answer that might be taken back.
+ * Runs two-step model cascades: the cheap version answers first, its whole answer is buffered until its confidence is
+ * known, and the request escalates to the strong version if that confidence is too low. The caller receives no byte of
+ * an answer that may still be discarded.
  */
 internal class CascadeRunner(
     private val steps: StepRunner,
     private val clock: NanoClock,
 ) {
-    /** Runs [exchange] on the plan's first version, and on [escalation] unless the answer is accepted. */
+    /**
+     * Runs [exchange] on the plan's first version, then on [escalation] if the first answer is not confident.
+     */
     fun run(
         exchange: Exchange,
         planned: PlannedRequest,
@@ -29,7 +32,8 @@
         next: RequestHandler,
     ): CompletableFuture<Answer> {
         val plan = planned.plan
-        return judged(exchange, plan.first, planned.taskClass, half(exchange), next).thenCompose { first ->
+        val deadline = firstStepDeadline(exchange)
+        return runBuffered(exchange, plan.first, planned.taskClass, deadline, next).thenCompose { first ->
             if (first.answer !is Answer.Refused && first.confidence >= plan.acceptFrom) {
                 first.accept()
                 CompletableFuture.completedFuture(first.answer)
@@ -37,127 +41,133 @@
                 first.discard()
                 steps
                     .run(exchange, escalation, planned.taskClass, next, escalated = true)
-                    .thenApply { fallBack(exchange, first, it) }
+                    .thenApply { chooseAnswer(exchange, first, it) }
             }
         }
     }
 
-    /** Runs [exchange] on [version] alone, and learns the confidence of its answer; for exploration. */
+    /**
+     * Runs [exchange] on [version] alone and records the confidence of its answer; used for exploration.
+     */
     fun explore(
         exchange: Exchange,
         version: ModelVersion,
         taskClass: TaskClass,
         next: RequestHandler,
     ): CompletableFuture<Answer> =
-        judged(exchange, version, taskClass, exchange.deadline, next).thenApply {
+        runBuffered(exchange, version, taskClass, exchange.deadline, next).thenApply {
             it.accept()
             it.answer
         }
 
-    /** The first step may use up half of the time that is left. */
-    private fun half(exchange: Exchange): Long {
+    /** The first step may use half of the remaining time, so that an escalation still has the other half. */
+    private fun firstStepDeadline(exchange: Exchange): Long {
         val now = clock.nanos()
         return now + (exchange.deadline - now) / 2
     }
 
-    private fun judged(
+    private fun runBuffered(
         exchange: Exchange,
         version: ModelVersion,
         taskClass: TaskClass,
         deadline: Long,
         next: RequestHandler,
-    ): CompletableFuture<JudgedAnswer> {
+    ): CompletableFuture<AssessedAnswer> {
         val call = exchange.call as Call.Model
-        val asking = exchange.with(call.copy(body = AnswerConfidence.ask(call.body))).copy(deadline = deadline)
+        val body = AnswerConfidence.requestLogProbabilities(call.body)
+        val stepExchange = exchange.with(call.copy(body = body)).copy(deadline = deadline)
         val step = steps.start(exchange, version, taskClass)
-        val strip = "logprobs" !in call.body
+        val removeLogProbabilities = "logprobs" !in call.body
         return next
-            .handle(asking.with(version))
-            .thenCompose { held(it) }
-            .thenApply { judge(exchange, step, it, strip) }
+            .handle(stepExchange.with(version))
+            .thenCompose { buffer(it) }
+            .thenApply { assess(exchange, step, it, removeLogProbabilities) }
     }
 
-    private fun held(answer: Answer): CompletableFuture<HeldAnswer> =
+    private fun buffer(answer: Answer): CompletableFuture<BufferedAnswer> =
         when (answer) {
-            is Answer.Streamed -> answer.frames.collect().thenApply { HeldAnswer.Frames(it) }
-            else -> CompletableFuture.completedFuture(HeldAnswer.Plain(answer))
+            is Answer.Streamed -> answer.frames.collect().thenApply { BufferedAnswer.Streamed(it) }
+            else -> CompletableFuture.completedFuture(BufferedAnswer.NotStreamed(answer))
         }
 
-    private fun judge(
+    private fun assess(
         exchange: Exchange,
         step: StepRunner.Step,
-        held: HeldAnswer,
-        strip: Boolean,
-    ): JudgedAnswer {
+        buffered: BufferedAnswer,
+        removeLogProbabilities: Boolean,
+    ): AssessedAnswer {
         val confidence = AnswerConfidence()
         val answer =
-            when (held) {
-                is HeldAnswer.Frames -> framesAnswer(held.frames, confidence, strip)
-                is HeldAnswer.Plain -> plainAnswer(held.answer, confidence, strip)
+            when (buffered) {
+                is BufferedAnswer.Streamed -> streamedAnswer(buffered.frames, confidence, removeLogProbabilities)
+                is BufferedAnswer.NotStreamed -> completeAnswer(buffered.answer, confidence, removeLogProbabilities)
             }
-        return JudgedAnswer(exchange, step, answer, confidence.band())
+        return AssessedAnswer(exchange, step, answer, confidence.band())
     }
 
-    private fun plainAnswer(
+    private fun completeAnswer(
         answer: Answer,
         confidence: AnswerConfidence,
-        strip: Boolean,
+        removeLogProbabilities: Boolean,
     ): Answer {
         if (answer !is Answer.Complete) return answer
-        val body = AnswerConfidence.parse(answer.body.toStringUtf8()) ?: return answer
+        val body = AnswerConfidence.parseOrNull(answer.body.toStringUtf8()) ?: return answer
         confidence.add(body)
-        if (!strip) return answer
-        return answer.copy(body = HttpData.ofUtf8(AnswerConfidence.strip(body).toString()))
+        if (!removeLogProbabilities) return answer
+        return answer.copy(body = HttpData.ofUtf8(AnswerConfidence.removeLogProbabilities(body).toString()))
     }
 
-    private fun framesAnswer(
+    private fun streamedAnswer(
         frames: List<AnswerFrame>,
         confidence: AnswerConfidence,
-        strip: Boolean,
+        removeLogProbabilities: Boolean,
     ): Answer {
         val failed = frames.filterIsInstance<AnswerFrame.Failed>().firstOrNull()
         if (failed != null) return Answer.Refused(failed.refusal)
-        val shown =
+        val deliveredFrames =
             frames.map { frame ->
-                val chunk = (frame as? AnswerFrame.Token)?.let { AnswerConfidence.parse(it.data) }
+                val chunk = (frame as? AnswerFrame.Token)?.let { AnswerConfidence.parseOrNull(it.data) }
                 chunk?.let { confidence.add(it) }
-                if (chunk == null || !strip) frame else frame.stripped(chunk)
+                if (chunk == null || !removeLogProbabilities) frame else frame.withoutLogProbabilities(chunk)
             }
-        if (shown.lastOrNull() !is AnswerFrame.Finished) return Answer.Refused(CUT)
-        return Answer.Streamed(StreamMessage.of(*shown.toTypedArray()))
+        if (deliveredFrames.lastOrNull() !is AnswerFrame.Finished) return Answer.Refused(ANSWER_TRUNCATED)
+        return Answer.Streamed(StreamMessage.of(*deliveredFrames.toTypedArray()))
     }
 
-    private fun AnswerFrame.stripped(chunk: JsonObject): AnswerFrame =
-        (this as AnswerFrame.Token).copy(data = AnswerConfidence.strip(chunk).toString())
+    private fun AnswerFrame.withoutLogProbabilities(chunk: JsonObject): AnswerFrame =
+        (this as AnswerFrame.Token).copy(data = AnswerConfidence.removeLogProbabilities(chunk).toString())
 
-    /** The first answer after all, when the escalation gave none and the organisation takes the best available. */
-    private fun fallBack(
+    /**
+     * Returns the second answer, or the first one if the escalation was refused and the organisation accepts the best
+     * available answer.
+     */
+    private fun chooseAnswer(
         exchange: Exchange,
-        first: JudgedAnswer,
+        first: AssessedAnswer,
         second: Answer,
     ): Answer {
         if (second !is Answer.Refused) {
             exchange.journal.addAnswerHeader(ESCALATED_HEADER, "true")
             return second
         }
-        val takesBest = exchange.organisation.quality.whenMissed == TargetMissedRule.BEST_AVAILABLE
-        if (!takesBest || first.answer is Answer.Refused) return second
+        val acceptsBestAvailable = exchange.organisation.quality.whenMissed == TargetMissedRule.BEST_AVAILABLE
+        if (!acceptsBestAvailable || first.answer is Answer.Refused) return second
         exchange.journal.restoreStep()
         exchange.journal.addAnswerHeader(QualityHeader.NAME, QualityHeader.BELOW_TARGET)
         return first.answer
     }
 
-    private sealed interface HeldAnswer {
-        class Frames(
+    private sealed interface BufferedAnswer {
+        class Streamed(
             val frames: List<AnswerFrame>,
-        ) : HeldAnswer
+        ) : BufferedAnswer
 
-        class Plain(
+        class NotStreamed(
             val answer: Answer,
-        ) : HeldAnswer
+        ) : BufferedAnswer
     }
 
-    private class JudgedAnswer(
+    private class AssessedAnswer(
         private val exchange: Exchange,
         private val step: StepRunner.Step,
         val answer: Answer,
@@ -165,18 +175,19 @@
     ) {
         private val refusal = (answer as? Answer.Refused)?.refusal
 
-        fun accept(): Unit = step.end(refusal, judgedConfidence(), delivered = true)
+        fun accept(): Unit = step.end(refusal, confidenceIfAnswered(), delivered = true)
 
         fun discard() {
-            step.end(refusal, judgedConfidence(), delivered = false)
+            step.end(refusal, confidenceIfAnswered(), delivered = false)
             exchange.journal.discardStep()
         }
 
-        private fun judgedConfidence(): ConfidenceBand? = if (refusal == null) confidence else null
+        private fun confidenceIfAnswered(): ConfidenceBand? = if (refusal == null) confidence else null
     }
 
     private companion object {
         const val ESCALATED_HEADER = "x-almondhaven-escalated"
-        val CUT = Refusal(ResultCode.ANSWER_CUT, "the endpoint's answer ended early", Outcome.UNKNOWN)
+        val ANSWER_TRUNCATED =
+            Refusal(ResultCode.ANSWER_CUT, "the answer ended before the endpoint completed it", Outcome.UNKNOWN)
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/DispatchGate.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/DispatchGate.kt
@@ -1,13 +1,13 @@
 package dev.almondhaven.router.filter
 
 /**
- * Decides, right before the write to an endpoint's socket, whether a non-idempotent call may be dispatched. Once it let
- * a dispatch through it lets no other through, unless [releaseUnsent] takes the first one back.
+ * Permits at most one dispatch of a non-idempotent call, checked immediately before the write to an endpoint's socket.
+ * [tryAcquire] grants a single permit; another is granted only after [releaseUnsent] has returned it.
  */
 public interface DispatchGate {
-    /** Whether the call may be dispatched now. */
+    /** Takes the permit; returns false if the call must not be dispatched now. */
     public fun tryAcquire(): Boolean
 
-    /** Reports that of the dispatch certainly no byte was sent. */
+    /** Returns the permit of a dispatch of which provably no byte was sent. */
     public fun releaseUnsent()
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/EndpointChoiceFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/EndpointChoiceFilter.kt
@@ -27,20 +27,23 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Chooses the endpoint for an attempt, takes a slot there, and gives it back when the attempt has ended. */
+/**
+ * Chooses the endpoint of an attempt and holds one of its slots until the attempt ends. A request waits in the
+ * admission queue of its pool while every endpoint there is at its limit.
+ */
 internal class EndpointChoiceFilter(
     private val directory: EndpointDirectory,
     private val admissionQueue: AdmissionQueue,
     private val clock: NanoClock,
     private val chooser: EndpointChooser = EndpointChooser(),
 ) : RequestFilter {
-    private val usualRun = MovingAverageNanos()
+    private val averageRunTime = MovingAverageNanos()
 
     override fun handle(
         exchange: Exchange,
         next: RequestHandler,
     ): CompletableFuture<Answer> {
-        val key = poolKey(exchange) ?: return refuse(exchange, ResultCode.NO_ENDPOINT, "no version is chosen")
+        val key = poolKey(exchange) ?: return refuse(exchange, ResultCode.NO_ENDPOINT, "no model version was chosen")
         if (directory.poolOrNull(key)?.isEmpty == false) return choose(exchange, key, next)
         return directory.refreshPools().thenComposeAsync({ choose(exchange, key, next) }, exchange.eventLoop)
     }
@@ -57,12 +60,12 @@
         next: RequestHandler,
     ): CompletableFuture<Answer> {
         val request = EndpointRequest(affinityKey(exchange), exchange.triedEndpoints)
-        val newcomer = exchange.triedEndpoints.isEmpty()
-        // Who comes while others wait joins the queue, or a free slot would go to whoever asks first.
-        if (newcomer && admissionQueue.waiting(key) > 0) return await(exchange, key, request, next)
+        val firstAttempt = exchange.triedEndpoints.isEmpty()
+        // New requests join a non-empty queue; otherwise they would take slots that free up ahead of waiting requests.
+        if (firstAttempt && admissionQueue.waiting(key) > 0) return enqueue(exchange, key, request, next)
         val choice = choiceFor(key, request)
-        if (choice is EndpointChoice.AllBusy) return await(exchange, key, request, next)
-        return follow(exchange, key, choice, next)
+        if (choice is EndpointChoice.AllBusy) return enqueue(exchange, key, request, next)
+        return handleChoice(exchange, key, choice, next)
     }
 
     private fun choiceFor(
@@ -71,45 +74,45 @@
     ): EndpointChoice =
         chooser.choose(directory.poolOrNull(key) ?: EndpointPool.EMPTY, request, clock.nanos(), random())
 
-    private fun await(
+    private fun enqueue(
         exchange: Exchange,
         key: PoolKey,
         request: EndpointRequest,
         next: RequestHandler,
     ): CompletableFuture<Answer> {
-        val waiter = WaitingRequest({ choiceFor(key, request) }, { exchange.journal.hasEnded })
-        return admissionQueue.enter(key, queued(exchange, waiter)).thenComposeAsync({ turn ->
-            when (turn) {
+        val waitingRequest = WaitingRequest({ choiceFor(key, request) }, { exchange.journal.hasEnded })
+        return admissionQueue.enqueue(key, queuedRequest(exchange, waitingRequest)).thenComposeAsync({ result ->
+            when (result) {
                 is QueueResult.Admitted -> {
-                    follow(exchange, key, turn.choice, next)
+                    handleChoice(exchange, key, result.choice, next)
                 }
 
                 is QueueResult.Refused -> {
                     refuse(
                         exchange,
                         ResultCode.OVERLOADED,
-                        "no endpoint has room in time",
-                        turn.retryAfter,
+                        "no endpoint had a free slot in time",
+                        result.retryAfter,
                     )
                 }
             }
         }, exchange.eventLoop)
     }
 
-    private fun queued(
+    private fun queuedRequest(
         exchange: Exchange,
-        waiter: WaitingRequest,
+        waitingRequest: WaitingRequest,
     ): QueuedRequest<WaitingRequest> =
         QueuedRequest(
-            waiter,
+            waitingRequest,
             exchange.organisation.id,
             exchange.organisation.share,
-            cost = 1.0 + exchange.body.length() / CHARACTERS_PER_COST,
-            latestStart = exchange.deadline - usualRun.nanos,
+            cost = 1.0 + exchange.body.length() / BODY_BYTES_PER_COST_UNIT,
+            latestStart = exchange.deadline - averageRunTime.nanos,
             RequestPriority.of(exchange),
         )
 
-    private fun follow(
+    private fun handleChoice(
         exchange: Exchange,
         key: PoolKey,
         choice: EndpointChoice,
@@ -117,8 +120,8 @@
     ): CompletableFuture<Answer> =
         when (choice) {
             is EndpointChoice.Chosen -> send(exchange, key, choice.state, next)
-            EndpointChoice.AllBusy -> refuse(exchange, ResultCode.OVERLOADED, "every endpoint is at its limit")
-            EndpointChoice.NoneLeft -> refuse(exchange, ResultCode.NO_ENDPOINT, "no endpoint in service")
+            EndpointChoice.AllBusy -> refuse(exchange, ResultCode.OVERLOADED, "every endpoint is at its request limit")
+            EndpointChoice.NoneLeft -> refuse(exchange, ResultCode.NO_ENDPOINT, "no endpoint is in service")
         }
 
     private fun send(
@@ -129,11 +132,11 @@
     ): CompletableFuture<Answer> {
         val startedAt = clock.nanos()
         exchange.attempt.recordEndpoint(state.endpoint)
-        exchange.attempt.whenEnded { result -> ended(exchange, key, state, result, startedAt) }
+        exchange.attempt.whenEnded { result -> attemptEnded(exchange, key, state, result, startedAt) }
         return next.handle(exchange.with(state.endpoint))
     }
 
-    private fun ended(
+    private fun attemptEnded(
         exchange: Exchange,
         key: PoolKey,
         state: EndpointState,
@@ -141,16 +144,16 @@
         startedAt: Long,
     ) {
         state.release()
-        admissionQueue.slotFree(key)
-        if (result == AttemptResult.SUCCEEDED) usualRun.record(clock.nanos() - startedAt)
+        admissionQueue.slotFreed(key)
+        if (result == AttemptResult.SUCCEEDED) averageRunTime.record(clock.nanos() - startedAt)
         when (result) {
             AttemptResult.SUCCEEDED -> state.health.recordSuccess()
             AttemptResult.FAILED, AttemptResult.CONNECTION_LOST -> recordFailure(state)
             AttemptResult.OVERLOADED, AttemptResult.ABANDONED -> Unit
         }
-        val firstToken = exchange.attempt.firstTokenAt
-        val latency = if (firstToken == 0L) null else (firstToken - startedAt).nanoseconds
-        directory.recordAttempt(state.endpoint.id, result, latency)
+        val firstTokenAt = exchange.attempt.firstTokenAt
+        val timeToFirstToken = if (firstTokenAt == 0L) null else (firstTokenAt - startedAt).nanoseconds
+        directory.recordAttempt(state.endpoint.id, result, timeToFirstToken)
     }
 
     private fun recordFailure(state: EndpointState) {
@@ -159,12 +162,13 @@
         }
     }
 
+    /** Hashes the session id, or else the start of the prompt, so that equal prefixes reach the same KV cache. */
     private fun affinityKey(exchange: Exchange): Long? {
         val call = exchange.call as? Call.Model ?: return null
-        val session = exchange.headers.get(SESSION)
+        val session = exchange.headers.get(SESSION_HEADER)
         if (session != null) return hash(exchange.organisation.id.value + session)
         val prompt = call.body["messages"] ?: call.body["prompt"] ?: return null
-        return hash(exchange.organisation.id.value + prompt.toString().take(PREFIX_CHARACTERS))
+        return hash(exchange.organisation.id.value + prompt.toString().take(PROMPT_PREFIX_CHARACTERS))
     }
 
     private fun hash(text: String): Long = Hashing.farmHashFingerprint64().hashUnencodedChars(text).asLong()
@@ -181,10 +185,12 @@
 
     private companion object {
         val RETRY_AFTER: Duration = 1.seconds
-        const val CHARACTERS_PER_COST = 4_000.0
-        const val SESSION = "x-session-id"
 
-        /** Characters of the prompt that requests with the same cached prefix share. */
-        const val PREFIX_CHARACTERS = 512
+        /** Bytes of request body that add as much queue cost as a request itself. */
+        const val BODY_BYTES_PER_COST_UNIT = 4_000.0
+        const val SESSION_HEADER = "x-session-id"
+
+        /** Prompts that agree in this many leading characters are taken to share a cached prefix. */
+        const val PROMPT_PREFIX_CHARACTERS = 512
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/Exchange.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/Exchange.kt
@@ -12,16 +12,16 @@
 import io.netty.channel.EventLoop
 
 /**
- * A request on its way through the filter chain. It is immutable: each filter passes on a copy with what it found out,
- * so that a retry, a hedge or an escalation starts from the state before it. What belongs to the request as a whole is
- * in [journal].
+ * A request in the filter chain. It is immutable: each filter passes on a copy extended by its own results, so that a
+ * retry, a hedge or an escalation starts from the state before it. State shared by all attempts of the request is in
+ * [journal].
  *
- * @property arrivedAt monotonic nanoseconds.
- * @property deadline monotonic nanoseconds after which the answer is worthless.
- * @property attempt the try that this copy belongs to.
- * @property triedEndpoints endpoints that earlier attempts have tried.
- * @property resumeAfter sequence number of the last frame that the caller already has.
- * @property pinnedVersion the only version that the request's session may run on; null when the choice is free.
+ * @property arrivedAt arrival of the request, in monotonic nanoseconds.
+ * @property deadline monotonic nanoseconds after which the caller no longer accepts an answer.
+ * @property attempt the attempt that this copy belongs to.
+ * @property triedEndpoints endpoints that earlier attempts have used.
+ * @property resumeAfter sequence number of the last frame that the caller has received; 0 for none.
+ * @property pinnedVersion the only version that the request's session may use; null when the request has no pin.
  */
 public data class Exchange(
     public val requestId: RequestId,
@@ -32,7 +32,7 @@
     public val eventLoop: EventLoop,
     public val journal: RequestJournal = RequestJournal(),
     public val pinnedVersion: ModelVersionId? = null,
-    private val identifiedOrganisation: Organisation? = null,
+    private val authenticatedOrganisation: Organisation? = null,
     private val parsedCall: Call? = null,
     private val chosenVersion: ModelVersion? = null,
     private val chosenEndpoint: Endpoint? = null,
@@ -43,25 +43,31 @@
 ) {
     public val method: HttpMethod get() = headers.method()
 
-    /** The path with its query. */
+    /** The path including the query. */
     public val path: String get() = headers.path()
 
-    /** The organisation; set by the identifying filter. */
-    public val organisation: Organisation get() = checkNotNull(identifiedOrganisation) { "not identified: $requestId" }
+    /** The organisation that sent the request; set by [AuthenticationFilter]. */
+    public val organisation: Organisation get() =
+        checkNotNull(authenticatedOrganisation) {
+            "request $requestId is not authenticated yet"
+        }
 
-    /** The call; set by the parsing filter. */
-    public val call: Call get() = checkNotNull(parsedCall) { "not parsed: $requestId" }
+    /** The parsed request; set by [ParseFilter]. */
+    public val call: Call get() = checkNotNull(parsedCall) { "request $requestId is not parsed yet" }
 
-    /** The model version chosen, or null for a plain service. */
+    /** The chosen model version; null for a plain service, and before the choice. */
     public val version: ModelVersion? get() = chosenVersion
 
-    /** The endpoint; set by the endpoint choice. */
-    public val endpoint: Endpoint get() = checkNotNull(chosenEndpoint) { "no endpoint chosen: $requestId" }
+    /** The chosen endpoint; set by [EndpointChoiceFilter]. */
+    public val endpoint: Endpoint get() =
+        checkNotNull(chosenEndpoint) {
+            "no endpoint is chosen yet for request $requestId"
+        }
 
-    /** Decides about the dispatch of a non-idempotent call; null for calls that may be repeated. */
+    /** Limits a non-idempotent call to one dispatch; null for idempotent calls. */
     public val dispatchGate: DispatchGate? get() = gate
 
-    public fun with(organisation: Organisation): Exchange = copy(identifiedOrganisation = organisation)
+    public fun with(organisation: Organisation): Exchange = copy(authenticatedOrganisation = organisation)
 
     public fun with(call: Call): Exchange = copy(parsedCall = call)
 
@@ -71,7 +77,7 @@
 
     public fun with(endpoint: Endpoint): Exchange = copy(chosenEndpoint = endpoint)
 
-    /** A copy for a new attempt, which is not to use what earlier attempts used. */
+    /** A copy for a new attempt, which avoids [triedEndpoints] and resumes after frame [resumeAfter]. */
     internal fun forRetry(
         triedEndpoints: Set<EndpointId>,
         resumeAfter: Long,
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/ModelChoiceFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/ModelChoiceFilter.kt
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture
 
 /**
- * Chooses the plan for a request to a model and runs it: one version, or a cascade of two. When the version is withdrawn
- * or goes into quarantine between choice and dispatch, it chooses once more.
+ * Chooses the plan of a request to a model and runs it: one version, or a cascade of two. If the version is withdrawn
+ * or quarantined between the choice and the dispatch, the filter chooses once more.
  */
 internal class ModelChoiceFilter(
     private val planner: RequestPlanner,
@@ -19,7 +19,7 @@
     ): CompletableFuture<Answer> {
         val call = exchange.call as? Call.Model ?: return next.handle(exchange)
         return choose(exchange, call, next).thenCompose { answer ->
-            if (overtaken(answer)) choose(exchange, call, next) else answer.completed()
+            if (isInvalidated(answer)) choose(exchange, call, next) else answer.completed()
         }
     }
 
@@ -49,12 +49,13 @@
         }
     }
 
-    private fun overtaken(answer: Answer): Boolean {
+    /** Whether the chosen version ceased to be usable before the request was dispatched. */
+    private fun isInvalidated(answer: Answer): Boolean {
         val refusal = (answer as? Answer.Refused)?.refusal ?: return false
-        return refusal.outcome == Outcome.NOT_RUN && refusal.code in OVERTAKEN
+        return refusal.outcome == Outcome.NOT_RUN && refusal.code in CODES_OF_UNUSABLE_VERSION
     }
 
     private companion object {
-        val OVERTAKEN = setOf(ResultCode.VERSION_QUARANTINED, ResultCode.UNKNOWN_MODEL)
+        val CODES_OF_UNUSABLE_VERSION = setOf(ResultCode.VERSION_QUARANTINED, ResultCode.UNKNOWN_MODEL)
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/ModelListFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/ModelListFilter.kt
@@ -11,7 +11,7 @@
 import kotlinx.serialization.json.buildJsonObject
 import java.util.concurrent.CompletableFuture
 
-/** Answers `GET /v1/models` with what the organisation may use now. */
+/** Answers `GET /v1/models` with the model versions that the organisation may use now. */
 internal class ModelListFilter(
     private val holder: CatalogueHolder,
 ) : RequestFilter {
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/MovingAverageNanos.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/MovingAverageNanos.kt
@@ -2,19 +2,20 @@
 
 import java.util.concurrent.atomic.AtomicLong
 
-/** An exponentially smoothed duration that any thread may update. */
+/** A thread-safe exponential moving average of durations in nanoseconds. */
 internal class MovingAverageNanos {
-    private val smoothed = AtomicLong()
+    private val average = AtomicLong()
 
-    /** The smoothed value; 0 before the first one. */
-    val nanos: Long get() = smoothed.get()
+    /** The current average; 0 before the first sample. */
+    val nanos: Long get() = average.get()
 
-    /** Takes one measured value. */
+    /** Adds one sample. */
     fun record(nanos: Long) {
-        smoothed.updateAndGet { if (it == 0L) nanos else it + (nanos - it) / WEIGHT_DIVISOR }
+        average.updateAndGet { if (it == 0L) nanos else it + (nanos - it) / WEIGHT_DIVISOR }
     }
 
     private companion object {
+        /** A new sample has a weight of 1/16. */
         const val WEIGHT_DIVISOR = 16
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/OutOfServiceDomainFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/OutOfServiceDomainFilter.kt
@@ -7,7 +7,10 @@
 import java.util.concurrent.CompletableFuture
 import kotlin.time.Duration.Companion.seconds
 
-/** Refuses new work while operators have this router's failure domain out of service; running work goes on. */
+/**
+ * Refuses new requests while operators have taken this router's failure domain out of service. Requests in flight
+ * continue.
+ */
 internal class OutOfServiceDomainFilter(
     private val holder: CatalogueHolder,
     private val failureDomain: FailureDomainId,
@@ -17,7 +20,7 @@
         next: RequestHandler,
     ): CompletableFuture<Answer> {
         if (holder.index.inService(failureDomain)) return next.handle(exchange)
-        val detail = "failure domain $failureDomain is out of service; try again to reach another router"
+        val detail = "failure domain $failureDomain is out of service; retry to reach another router"
         return Answer.Refused(Refusal.notRun(ResultCode.DOMAIN_OUT_OF_SERVICE, detail, RETRY_AFTER)).completed()
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/ParseFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/ParseFilter.kt
@@ -18,7 +18,7 @@
 import kotlinx.serialization.json.booleanOrNull
 import java.util.concurrent.CompletableFuture
 
-/** Turns the request into a typed [Call], or refuses it with what is wrong. */
+/** Parses the request into a [Call], or refuses it with the reason. */
 internal class ParseFilter(
     private val holder: CatalogueHolder,
 ) : RequestFilter {
@@ -37,7 +37,7 @@
             path in MODEL_PATHS && exchange.method == HttpMethod.POST -> parseModelCall(exchange, path)
             path == MODEL_LIST_PATH && exchange.method == HttpMethod.GET -> Call.ModelList.right()
             path.startsWith(SERVICE_PREFIX) -> parseServiceCall(exchange)
-            else -> notRun(ResultCode.UNKNOWN_PATH, "no such path: ${exchange.method} $path")
+            else -> notRun(ResultCode.UNKNOWN_PATH, "no such method and path: ${exchange.method} $path")
         }
     }
 
@@ -46,34 +46,39 @@
         path: String,
     ): Either<Refusal, Call> {
         val body =
-            parseJson(exchange.body.toStringUtf8()) as? JsonObject
+            parseJsonOrNull(exchange.body.toStringUtf8()) as? JsonObject
                 ?: return notRun(ResultCode.MALFORMED_REQUEST, "the body is not a JSON object")
         val promptField = if (path == CHAT_PATH) "messages" else "prompt"
         if (promptField !in body) return notRun(ResultCode.MALFORMED_REQUEST, "the field '$promptField' is missing")
         val model =
             when (val field = body["model"]) {
-                null -> AUTOMATIC
+                null -> ANY_MODEL
                 is JsonPrimitive -> field.content
-                else -> return notRun(ResultCode.MALFORMED_REQUEST, "the field 'model' is not a text")
+                else -> return notRun(ResultCode.MALFORMED_REQUEST, "the field 'model' is not a string")
             }
         val streamed = (body["stream"] as? JsonPrimitive)?.booleanOrNull ?: false
-        return selector(model, exchange).map { Call.Model(path, it, body, streamed) }
+        return parseSelector(model, exchange).map { Call.Model(path, it, body, streamed) }
     }
 
-    private fun selector(
+    private fun parseSelector(
         name: String,
         exchange: Exchange,
     ): Either<Refusal, ModelSelector> {
-        if (name == AUTOMATIC) return ModelSelector.Any.right()
+        if (name == ANY_MODEL) return ModelSelector.Any.right()
         val id = ModelVersionId.parseOrNull(name)
         val organisation = exchange.organisation
-        val known =
+        val allowed =
             if (id != null) {
                 holder.index.version(id) != null && organisation.allows(id)
             } else {
                 holder.index.versions(ModelId(name)).any { organisation.allows(it.id) }
             }
-        if (!known) return notRun(ResultCode.UNKNOWN_MODEL, "no model '$name' for this organisation")
+        if (!allowed) {
+            return notRun(
+                ResultCode.UNKNOWN_MODEL,
+                "model '$name' does not exist or this organisation may not use it",
+            )
+        }
         return (if (id != null) ModelSelector.Version(id) else ModelSelector.Model(ModelId(name))).right()
     }
 
@@ -87,11 +92,14 @@
                 .service(id)
                 ?.takeIf { exchange.organisation.allows(id) }
                 ?.callOrNull(exchange.method.name, path.substringBefore('?'))
-                ?: return notRun(ResultCode.UNKNOWN_SERVICE, "no call ${exchange.method} $path of service '$name'")
+                ?: return notRun(
+                    ResultCode.UNKNOWN_SERVICE,
+                    "service '$name' has no call ${exchange.method} $path that this organisation may use",
+                )
         return Call.Service(id, path, declaration).right()
     }
 
-    private fun parseJson(text: String): JsonElement? =
+    private fun parseJsonOrNull(text: String): JsonElement? =
         try {
             Json.parseToJsonElement(text)
         } catch (_: SerializationException) {
@@ -107,7 +115,7 @@
         const val CHAT_PATH = "/v1/chat/completions"
         const val MODEL_LIST_PATH = "/v1/models"
         const val SERVICE_PREFIX = "/services/"
-        const val AUTOMATIC = "auto"
+        const val ANY_MODEL = "auto"
         val MODEL_PATHS = setOf(CHAT_PATH, "/v1/completions")
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/QualityHeader.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/QualityHeader.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.router.filter
 
-/** Tells callers that the answer isn't expected to reach their organisation's quality target. */
+/** Answer header that marks an answer whose expected quality is below the organisation's target. */
 internal object QualityHeader {
     const val NAME: String = "x-almondhaven-quality"
     const val BELOW_TARGET: String = "below_target"
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestFeatures.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestFeatures.kt
@@ -6,10 +6,10 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.contentOrNull
 
-/** Reads features of a chat request that the task classes rest on. */
+/** Extracts the features of a chat request that determine its task class. */
 internal object RequestFeatures {
-    /** Whether a message of [body] holds an image part. */
-    fun holdsImages(body: JsonObject): Boolean {
+    /** Whether any message of [body] contains an image part. */
+    fun containsImages(body: JsonObject): Boolean {
         val messages = body["messages"] as? JsonArray ?: return false
         return messages.any { message -> parts(message as? JsonObject).any { it.typeName() == "image_url" } }
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestFilter.kt
@@ -2,14 +2,14 @@
 
 import java.util.concurrent.CompletableFuture
 
-/** Answers a request. Called on an event loop, so it never blocks. */
+/** Answers a request. Runs on an event loop and must not block. */
 public fun interface RequestHandler {
     public fun handle(exchange: Exchange): CompletableFuture<Answer>
 }
 
 /**
- * One link of the filter chain. It may answer by itself, pass a changed exchange on, change the answer on its way back,
- * or call [next][RequestHandler] several times.
+ * One element of the filter chain. It may answer the request itself, pass on a modified exchange, transform the answer
+ * of `next`, or call `next` several times.
  */
 public fun interface RequestFilter {
     public fun handle(
@@ -18,12 +18,12 @@
     ): CompletableFuture<Answer>
 }
 
-/** A handler that runs [filters] in order and ends with [last]. */
+/** Composes [filters], in order, and the final handler [last] into one handler. */
 public fun filterChain(
     filters: List<RequestFilter>,
     last: RequestHandler,
 ): RequestHandler =
     filters.foldRight(last) { filter, next -> RequestHandler { exchange -> filter.handle(exchange, next) } }
 
-/** An answer that is already known. */
+/** Wraps the answer in a completed future. */
 internal fun Answer.completed(): CompletableFuture<Answer> = CompletableFuture.completedFuture(this)
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestJournal.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestJournal.kt
@@ -9,69 +9,69 @@
 import java.util.concurrent.atomic.AtomicBoolean
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Tokens that an answer cost. */
+/** Token counts of an answer, as reported by the engine. */
 public data class Usage(
     public val promptTokens: Long,
     public val completionTokens: Long,
 )
 
-/** One run of a request on one version: a request has one, or two if a cascade escalated. Each is billed. */
+/** One run of a request on one version. A request has one step, or two after a cascade escalation; each is billed. */
 public data class RequestStep(
     public val version: ModelVersionId?,
     public val endpoint: EndpointId?,
     public val usage: Usage?,
 )
 
-/** A header that a filter adds to the answer; [name] is in lower case. */
+/** A header that a filter adds to the answer; [name] is lower-case. */
 public data class AnswerHeader(
     public val name: String,
     public val value: String,
 )
 
-/** What has happened to a request so far, over all its attempts. Safe to use from any thread. */
+/** The mutable state of a request that all its attempts share. Thread-safe. */
 public class RequestJournal {
-    private val possiblyRun = AtomicInteger()
+    private val dispatchCount = AtomicInteger()
 
-    /** Whether a byte of any attempt of the request may have reached an endpoint. */
-    public val dispatched: Boolean get() = possiblyRun.get() > 0
+    /** Whether an endpoint may have received any byte of any attempt. */
+    public val dispatched: Boolean get() = dispatchCount.get() > 0
 
-    /** The version that gave the answer the caller gets. */
+    /** The version that produced the answer that the caller receives. */
     @Volatile
     public var servedVersion: ModelVersionId? = null
         private set
 
-    /** The endpoint that gave the answer the caller gets. */
+    /** The endpoint that produced the answer that the caller receives. */
     @Volatile
     public var servedEndpoint: EndpointId? = null
         private set
 
-    /** Tokens of the answer the caller gets. */
+    /** Token counts of the answer that the caller receives. */
     @Volatile
     public var usage: Usage? = null
         private set
 
-    /** Whether it is settled that no earlier request under the same idempotency key was dispatched. */
+    /** Whether it is certain that no earlier request with the same idempotency key was dispatched. */
     @Volatile
     public var firstUseConfirmed: Boolean = false
         private set
 
-    /** Notes that no earlier request under the same idempotency key was dispatched. */
+    /** Records that no earlier request with the same idempotency key was dispatched. */
     public fun recordFirstUse() {
         firstUseConfirmed = true
     }
 
-    /** Notes that bytes of an attempt are about to be sent to an endpoint. */
+    /** Records that an attempt is about to write to an endpoint. */
     public fun recordDispatch() {
-        possiblyRun.incrementAndGet()
+        dispatchCount.incrementAndGet()
     }
 
-    /** Takes one [recordDispatch] back: the connection failed before any byte of that attempt was written. */
+    /** Reverts one [recordDispatch]: the connection failed before any byte of that attempt was written. */
     public fun recordUnsent() {
-        val left = possiblyRun.decrementAndGet()
-        check(left >= 0) { "more attempts taken back than dispatched: $left" }
+        val remaining = dispatchCount.decrementAndGet()
+        check(remaining >= 0) { "more dispatches reverted than recorded: $remaining" }
     }
 
-    /** Notes who gives the answer. */
+    /** Records the version and endpoint that answer. */
     public fun recordServed(
         version: ModelVersionId?,
         endpoint: EndpointId,
@@ -80,17 +80,17 @@
         servedEndpoint = endpoint
     }
 
-    /** Notes whose request it is. */
+    /** Records the organisation that sent the request. */
     public fun recordOrganisation(organisation: OrganisationId) {
         this.organisation = organisation
     }
 
-    /** Notes the error that the caller gets. */
+    /** Records the error that the caller receives. */
     public fun recordRefusal(refusal: Refusal) {
         this.refusal = refusal
     }
 
-    /** Adds a header to the answer; has an effect until the answer's headers are written. */
+    /** Adds a header to the answer. Has no effect after the answer's headers are written. */
     @Synchronized
     public fun addAnswerHeader(
         name: String,
@@ -99,32 +99,32 @@
         answerHeaders = answerHeaders + AnswerHeader(name, value)
     }
 
-    /** Notes the tokens of the answer. */
+    /** Records the token counts of the answer. */
     public fun recordUsage(usage: Usage) {
         this.usage = usage
     }
 
-    /** The organisation that the request belongs to, once it is identified. */
+    /** The organisation that sent the request; null until the request is authenticated. */
     @Volatile
     public var organisation: OrganisationId? = null
         private set
 
-    /** The error that the caller gets, if any. */
+    /** The error that the caller receives; null if there is none. */
     @Volatile
     public var refusal: Refusal? = null
         private set
 
-    /** Headers that filters add to the answer. */
+    /** Headers that filters have added to the answer. */
     @Volatile
     public var answerHeaders: List<AnswerHeader> = emptyList()
         private set
 
-    /** Earlier steps of a cascade whose answers the caller doesn't get. */
+    /** Steps of a cascade whose answers the caller does not receive. */
     @Volatile
     public var discardedSteps: List<RequestStep> = emptyList()
         private set
 
-    /** Notes that the caller won't get the answer recorded last. */
+    /** Moves the step recorded last to [discardedSteps]: the caller does not receive its answer. */
     @Synchronized
     public fun discardStep() {
         discardedSteps = discardedSteps + RequestStep(servedVersion, servedEndpoint, usage)
@@ -133,7 +133,7 @@
         usage = null
     }
 
-    /** Notes that the caller gets the answer discarded last after all, since the step after it gave none. */
+    /** Reverts the last [discardStep]: the caller receives that answer because the next step produced none. */
     @Synchronized
     public fun restoreStep() {
         val restored = discardedSteps.last()
@@ -145,32 +145,32 @@
 
     private val ended = CompletableFuture<Unit>()
     private val endRecorded = AtomicBoolean()
-    private val holds = AtomicInteger(1)
+    private val pendingEnds = AtomicInteger(1)
 
     /** Whether the request has ended. */
     public val hasEnded: Boolean get() = ended.isDone
 
-    /** Runs [action] once the request has ended: its answer is written whole, or failed, or the caller has left. */
+    /** Runs [action] once the answer is fully written or has failed, or the caller has disconnected. */
     public fun whenEnded(action: () -> Unit) {
         ended.thenRun { action() }
     }
 
-    /** Notes that the request has ended; only the first call has an effect. */
+    /** Records that the request has ended; later calls have no effect. */
     public fun recordEnd() {
         if (endRecorded.compareAndSet(false, true)) release()
     }
 
-    /** Puts the end of the request off until the returned function is called, as long as the request hasn't ended. */
+    /** Delays the end of a request that has not ended yet until the returned function is called. */
     public fun deferEnd(): () -> Unit {
-        holds.incrementAndGet()
+        pendingEnds.incrementAndGet()
         val released = AtomicBoolean()
         return { if (released.compareAndSet(false, true)) release() }
     }
 
     private fun release() {
-        if (holds.decrementAndGet() == 0) ended.complete(Unit)
+        if (pendingEnds.decrementAndGet() == 0) ended.complete(Unit)
     }
 
-    /** The outcome of an error: `not_run` only as long as nothing was dispatched. */
+    /** The outcome to report with an error: `not_run` only if nothing was dispatched. */
     public fun errorOutcome(): Outcome = if (dispatched) Outcome.UNKNOWN else Outcome.NOT_RUN
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestPlanner.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestPlanner.kt
@@ -21,13 +21,16 @@
 import kotlinx.serialization.json.intOrNull
 import java.time.InstantSource
 
-/** A plan for one request, with the class under which its outcome is counted. */
+/** The plan of one request, and the task class under which its outcome is recorded. */
 internal data class PlannedRequest(
     val plan: Plan,
     val taskClass: TaskClass,
 )
 
-/** Makes the plan for a request: its task class, its candidates, the cheapest plan that reaches the target. */
+/**
+ * Plans a request: determines its task class and candidate versions, and chooses the cheapest plan that reaches the
+ * quality target.
+ */
 internal class RequestPlanner(
     private val policy: VersionPolicy,
     private val choice: ChoiceController,
@@ -44,16 +47,19 @@
         val shape = shape(exchange, call)
         val taskClass = taskClass(exchange, shape, snapshot)
         val candidates = candidates(exchange, snapshot, taskClass)
-        if (candidates.isEmpty()) return notRun(ResultCode.NO_MODEL_ALLOWED, "no version in service for the request")
+        if (candidates.isEmpty()) return notRun(ResultCode.NO_MODEL_ALLOWED, "no usable model version is in service")
         val demand = demand(exchange, shape, taskClass)
         val best =
             PlanChooser.choose(candidates, demand)
-                ?: return notRun(ResultCode.PROMPT_TOO_LONG, "the prompt has about ${demand.promptTokens} tokens")
-        if (refuses(exchange, best)) {
-            val detail = "quality ${demand.target} is asked for, ${best.quality} is expected of the best plan"
+                ?: return notRun(
+                    ResultCode.PROMPT_TOO_LONG,
+                    "the prompt of about ${demand.promptTokens} tokens is too long for every candidate model",
+                )
+        if (mustRefuse(exchange, best)) {
+            val detail = "the quality target is ${demand.target}, the best plan is expected to reach ${best.quality}"
             return notRun(ResultCode.TARGET_MISSED, detail)
         }
-        return PlannedRequest(explored(exchange, best, candidates, demand), taskClass).right()
+        return PlannedRequest(withExploration(exchange, best, candidates, demand), taskClass).right()
     }
 
     private fun shape(
@@ -61,12 +67,12 @@
         call: Call.Model,
     ): RequestShape =
         RequestShape(
-            promptTokens = exchange.body.length() / BYTES_PER_TOKEN,
+            promptTokens = exchange.body.length() / BODY_BYTES_PER_TOKEN,
             outputTokensLimit = (call.body["max_tokens"] as? JsonPrimitive)?.intOrNull?.takeIf { it > 0 },
-            holdsImages = RequestFeatures.holdsImages(call.body),
+            holdsImages = RequestFeatures.containsImages(call.body),
         )
 
-    /** A declared class counts only if it is known, so that callers can't grow the evidence without bound. */
+    /** Ignores declared classes that are not configured, so that callers can't grow the evidence without bound. */
     private fun taskClass(
         exchange: Exchange,
         shape: RequestShape,
@@ -83,8 +89,8 @@
         snapshot: ChoiceSnapshot,
         taskClass: TaskClass,
     ): List<Candidate> {
-        val key = exchange.headers.get(SessionFilter.ID_HEADER) ?: exchange.requestId.value
-        return policy.candidates(exchange, key, wallClock.millis()).map { version ->
+        val rollOutKey = exchange.headers.get(SessionFilter.ID_HEADER) ?: exchange.requestId.value
+        return policy.candidates(exchange, rollOutKey, wallClock.millis()).map { version ->
             Candidate(version, snapshot.estimate(version, taskClass), conditions.of(version.id))
         }
     }
@@ -103,24 +109,24 @@
         )
 
     private fun mayEscalate(exchange: Exchange): Boolean =
-        exchange.call.idempotent && policy.choosesFreely(exchange) &&
+        exchange.call.idempotent && policy.hasFreeVersionChoice(exchange) &&
             !exchange.headers.contains(SessionFilter.ID_HEADER)
 
-    /** A caller or session that names its version gets it, whatever is expected of it. */
-    private fun refuses(
+    /** A version named by the caller or pinned by the session is used even if it misses the quality target. */
+    private fun mustRefuse(
         exchange: Exchange,
         plan: Plan,
     ): Boolean =
         !plan.meetsTarget &&
-            policy.choosesFreely(exchange) &&
+            policy.hasFreeVersionChoice(exchange) &&
             exchange.organisation.quality.whenMissed == TargetMissedRule.REFUSE
 
-    private fun explored(
+    private fun withExploration(
         exchange: Exchange,
         plan: Plan,
         candidates: List<Candidate>,
         demand: Demand,
-    ): Plan = if (policy.choosesFreely(exchange)) exploration.explore(plan, candidates, demand) else plan
+    ): Plan = if (policy.hasFreeVersionChoice(exchange)) exploration.explore(plan, candidates, demand) else plan
 
     private fun notRun(
         code: ResultCode,
@@ -129,7 +135,7 @@
 
     private companion object {
         const val TASK_CLASS_HEADER = "x-task-class"
-        const val BYTES_PER_TOKEN = 4
+        const val BODY_BYTES_PER_TOKEN = 4
         const val NANOS_PER_MILLISECOND = 1_000_000L
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestPriority.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestPriority.kt
@@ -2,11 +2,11 @@
 
 import dev.almondhaven.decision.limit.Priority
 
-/** The priority that a caller gave its request. */
+/** Reads the scheduling priority of a request. */
 internal object RequestPriority {
     private const val HEADER = "x-priority"
 
-    /** The value of `x-priority`: `high`, `normal` or `low`; anything else is normal. */
+    /** The priority in the `x-priority` header: `high`, `normal` or `low`. Anything else counts as normal. */
     fun of(exchange: Exchange): Priority {
         val text = exchange.headers.get(HEADER) ?: return Priority.NORMAL
         return Priority.entries.firstOrNull { it.name.equals(text, ignoreCase = true) } ?: Priority.NORMAL
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RetryFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RetryFilter.kt
@@ -23,8 +23,8 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Runs endpoint choice and dispatch again when an attempt failed, each time at an endpoint not tried before, within the
- * deadline and the [budget]. A streamed answer that broke off goes on behind the last frame that the caller has.
+ * Retries endpoint choice and dispatch after a failed attempt, each time on an endpoint not tried before, within the
+ * deadline and the retry [budget]. A streamed answer that breaks off resumes after the last frame that the caller has.
  */
 internal class RetryFilter(
     private val settings: EndpointSettings,
@@ -37,39 +37,40 @@
         exchange: Exchange,
         next: RequestHandler,
     ): CompletableFuture<Answer> {
-        val tries = Tries(next)
+        val attempts = Attempts(next)
         val first = exchange.forRetry(exchange.triedEndpoints, exchange.resumeAfter)
-        return tries.run(first).thenApply { tries.relayed(it) }
+        return attempts.run(first).thenApply { attempts.relay(it) }
     }
 
-    /** The attempts at one request; an attempt starts only when the one before has failed. */
-    private inner class Tries(
+    /** The attempts at one request, run one after the other: each starts only after the previous one has failed. */
+    private inner class Attempts(
         private val next: RequestHandler,
     ) {
-        private var count = 0
+        private var attemptCount = 0
 
         fun run(exchange: Exchange): CompletableFuture<Resumption> {
-            count++
-            return next.handle(exchange).thenCompose { answer -> settle(exchange, answer) }
+            attemptCount++
+            return next.handle(exchange).thenCompose { answer -> retryIfRefused(exchange, answer) }
         }
 
-        fun relayed(resumption: Resumption): Answer {
+        fun relay(resumption: Resumption): Answer {
             val answer = resumption.answer as? Answer.Streamed ?: return resumption.answer
             val relay = AnswerRelay(settings, clock, ::resume, resumption.exchange)
             return Answer.Streamed(relay.start(resumption.exchange, answer.frames))
         }
 
-        private fun settle(
+        private fun retryIfRefused(
             exchange: Exchange,
             answer: Answer,
         ): CompletableFuture<Resumption> {
-            val settled = CompletableFuture.completedFuture(Resumption(exchange, answer))
+            val unchanged = CompletableFuture.completedFuture(Resumption(exchange, answer))
             if (answer !is Answer.Refused) {
                 exchange.attempt.whenEnded { if (it == AttemptResult.SUCCEEDED) budget.recordSuccess() }
-                return settled
+                return unchanged
             }
-            val delay = delayAfter(exchange, answer.refusal) ?: return settled
-            return later(exchange, delay).thenCompose { run(again(exchange, exchange.resumeAfter)) }.thenApply {
+            val delay = retryDelayOrNull(exchange, answer.refusal) ?: return unchanged
+            return after(exchange, delay).thenCompose { run(nextAttempt(exchange, exchange.resumeAfter)) }.thenApply {
+                // With no endpoint left to try, the caller gets the earlier failure.
                 if (it.ranOutOfEndpoints()) Resumption(it.exchange, answer) else it
             }
         }
@@ -79,50 +80,44 @@
             refusal: Refusal,
             lastSequence: Long,
         ): CompletableFuture<Resumption?> {
-            val delay = delayAfter(failed, refusal) ?: return CompletableFuture.completedFuture(null)
+            val delay = retryDelayOrNull(failed, refusal) ?: return CompletableFuture.completedFuture(null)
             LogEvent.ANSWER_RESUMED.log(logger) { "request=${failed.requestId} after=$lastSequence" }
-            return later(failed, delay).thenCompose { run(again(failed, lastSequence)) }.thenApply {
+            return after(failed, delay).thenCompose { run(nextAttempt(failed, lastSequence)) }.thenApply {
                 it.takeUnless { resumption -> resumption.ranOutOfEndpoints() }
             }
         }
 
-        private fun delayAfter(
+        /** The backoff before the next attempt; null when the request must not be retried. */
+        private fun retryDelayOrNull(
             exchange: Exchange,
             refusal: Refusal,
         ): Duration? {
             if (exchange.journal.hasEnded) return null
             val remaining = (exchange.deadline - clock.nanos()).nanoseconds
             val outcome = exchange.journal.errorOutcome()
-            val failed = FailedAttempt(refusal.code, outcome, exchange.call.idempotent, count, remaining)
+            val failed = FailedAttempt(refusal.code, outcome, exchange.call.idempotent, attemptCount, remaining)
             val decision = policy.afterFailure(failed, random())
             return (decision as? RetryDecision.Retry)?.delay
         }
     }
 
-    private fun again(
+    private fun nextAttempt(
         exchange: Exchange,
         resumeAfter: Long,
     ): Exchange {
-        val used = exchange.attempt.endpoint?.id
-        return exchange.forRetry(
-            if (used ==
-                null
-            ) {
-                exchange.triedEndpoints
-            } else {
-                exchange.triedEndpoints + used
-            },
-            resumeAfter,
-        )
+        val triedEndpoint = exchange.attempt.endpoint?.id
+        val triedEndpoints =
+            if (triedEndpoint == null) exchange.triedEndpoints else exchange.triedEndpoints + triedEndpoint
+        return exchange.forRetry(triedEndpoints, resumeAfter)
     }
 
-    private fun later(
+    private fun after(
         exchange: Exchange,
         delay: Duration,
     ): CompletableFuture<Unit> {
-        val due = CompletableFuture<Unit>()
-        exchange.eventLoop.schedule({ due.complete(Unit) }, delay.inWholeNanoseconds, TimeUnit.NANOSECONDS)
-        return due
+        val elapsed = CompletableFuture<Unit>()
+        exchange.eventLoop.schedule({ elapsed.complete(Unit) }, delay.inWholeNanoseconds, TimeUnit.NANOSECONDS)
+        return elapsed
     }
 
     private fun Resumption.ranOutOfEndpoints(): Boolean =
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/SessionFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/SessionFilter.kt
@@ -25,11 +25,11 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Keeps sessions on their version. A request with a session token, or with a session id that the directory knows, is
- * pinned to the session's version, or to the named successor once that is withdrawn. An answer to a new or moved session
- * carries a token for the version that gave it.
+ * Keeps each session on one model version. A request with a session token, or with a session id that the directory
+ * knows, is pinned to the session's version, or to the configured successor once that version is withdrawn. The answer
+ * in a new or moved session carries a token that names the session's version.
  *
- * @property epochMillis the wall clock, for the age of tokens.
+ * @property epochMillis wall clock that the age of tokens is measured by.
  */
 internal class SessionFilter(
     private val holder: CatalogueHolder,
@@ -45,9 +45,9 @@
         val token = exchange.headers.get(TOKEN_HEADER)
         val id = exchange.headers.get(ID_HEADER)
         return when {
-            id != null && !ID_PATTERN.matches(id) -> refuse(invalid("the session id is not 1 to 128 plain characters"))
+            id != null && !ID_PATTERN.matches(id) -> refuse(invalid("the session id must match $ID_PATTERN"))
             token != null -> verify(exchange, token, id).fold(::refuse) { resume(exchange, call, it, token, next) }
-            id != null -> byId(exchange, call, SessionId(id), next)
+            id != null -> handleById(exchange, call, SessionId(id), next)
             else -> begin(exchange, SessionId(UUID.randomUUID().toString()), known = false, next)
         }
     }
@@ -57,7 +57,7 @@
         token: String,
         id: String?,
     ): Either<Refusal, VerifiedToken> {
-        val verifier = tokens ?: return invalid("this deployment has no keys for session tokens").left()
+        val verifier = tokens ?: return invalid("this deployment has no key configured for session tokens").left()
         val result = verifier.verify(token, exchange.organisation.id, epochMillis())
         return result.fold(
             { error ->
@@ -66,18 +66,24 @@
             },
             { verified ->
                 val sameSession = id == null || verified.pin.key.session.value == id
-                if (sameSession) verified.right() else invalid("the token and the id name two sessions").left()
+                if (sameSession) {
+                    verified.right()
+                } else {
+                    invalid(
+                        "the session token is of another session than the id",
+                    ).left()
+                }
             },
         )
     }
 
-    private fun byId(
+    private fun handleById(
         exchange: Exchange,
         call: Call.Model,
         id: SessionId,
         next: RequestHandler,
     ): CompletableFuture<Answer> =
-        pinOf(SessionKey(exchange.organisation.id, id))
+        findPin(SessionKey(exchange.organisation.id, id))
             .thenComposeAsync(
                 { pin ->
                     if (pin == null) {
@@ -89,14 +95,17 @@
                 exchange.eventLoop,
             )
 
-    /** The pin of a session known by its id; before it moves off its version the holders are asked whether it has. */
-    private fun pinOf(key: SessionKey): CompletableFuture<SessionPin?> =
+    /**
+     * Looks up the pin of a session known only by its id. If the pinned version is no longer active, refreshes the pin
+     * from the routers that hold the session, since it may already have moved.
+     */
+    private fun findPin(key: SessionKey): CompletableFuture<SessionPin?> =
         directory.lookUp(key).thenCompose { pin ->
-            val inService = pin == null || holder.index.version(pin.version)?.state == VersionState.ACTIVE
-            if (inService) CompletableFuture.completedFuture(pin) else directory.refresh(key)
+            val isCurrent = pin == null || holder.index.version(pin.version)?.state == VersionState.ACTIVE
+            if (isCurrent) CompletableFuture.completedFuture(pin) else directory.refresh(key)
         }
 
-    /** A session's first request: the version that answers is the one that the session keeps. */
+    /** Handles the first request of a session: the version that answers becomes the session's version. */
     private fun begin(
         exchange: Exchange,
         session: SessionId,
@@ -109,8 +118,8 @@
                 answer.completed()
             } else {
                 val pin = SessionPin(SessionKey(exchange.organisation.id, session), served, epochMillis())
-                val kept = if (known) directory.remember(pin) else CompletableFuture.completedFuture(pin)
-                kept.thenApply { answer.also { _ -> announce(exchange, it) } }
+                val stored = if (known) directory.remember(pin) else CompletableFuture.completedFuture(pin)
+                stored.thenApply { answer.also { _ -> addSessionHeaders(exchange, it) } }
             }
         }
 
@@ -126,18 +135,18 @@
             SessionVersionRule
                 .resolve(holder.index, exchange.organisation.id, pin.version)
                 .fold({ return refuse(refusal(it)) }, { it })
-        if (!agrees(exchange, call.selector, pin, version)) return refuse(otherModel(call.selector, version))
+        if (!matchesSession(exchange, call.selector, pin, version)) return refuse(modelDiffers(call.selector, version))
         val moved = version != pin.version
         val current = if (moved) pin.movedTo(version) else pin
-        if (moved) move(exchange, pin, current)
+        if (moved) recordMove(exchange, pin, current)
         return next.handle(exchange.pinnedTo(version)).thenApply { answer ->
             val renewed = if (session.outdated) current.copy(issuedAt = epochMillis()) else current
-            if (moved || session.outdated) announce(exchange, renewed) else echo(exchange, token)
+            if (moved || session.outdated) addSessionHeaders(exchange, renewed) else addTokenHeader(exchange, token)
             answer
         }
     }
 
-    private fun move(
+    private fun recordMove(
         exchange: Exchange,
         from: SessionPin,
         to: SessionPin,
@@ -147,8 +156,8 @@
         directory.move(from, to)
     }
 
-    /** Whether a caller that names a model names the session's own, as it is now or as it was. */
-    private fun agrees(
+    /** Whether the requested model admits the session's version, current or before its move. */
+    private fun matchesSession(
         exchange: Exchange,
         selector: ModelSelector,
         pin: SessionPin,
@@ -170,15 +179,15 @@
             }
         }
 
-    private fun announce(
+    private fun addSessionHeaders(
         exchange: Exchange,
         pin: SessionPin,
     ) {
-        echo(exchange, tokens?.issue(pin))
+        addTokenHeader(exchange, tokens?.issue(pin))
         exchange.journal.addAnswerHeader(ID_HEADER, pin.key.session.value)
     }
 
-    private fun echo(
+    private fun addTokenHeader(
         exchange: Exchange,
         token: String?,
     ) {
@@ -188,26 +197,26 @@
     private fun refusal(refusal: SessionRefusal): Refusal =
         when (refusal) {
             is SessionRefusal.Withdrawn -> {
-                val detail = "${refusal.version} is withdrawn without a successor; begin a new session"
+                val detail = "model version ${refusal.version} is withdrawn and has no successor; start a new session"
                 Refusal.notRun(ResultCode.SESSION_VERSION_WITHDRAWN, detail)
             }
 
             is SessionRefusal.NotAllowed -> {
-                val detail = "the organisation may not use ${refusal.version}; begin a new session"
+                val detail = "the organisation may not use model version ${refusal.version}; start a new session"
                 Refusal.notRun(ResultCode.SESSION_VERSION_NOT_ALLOWED, detail)
             }
 
             is SessionRefusal.Unknown -> {
-                val detail = "this router's configuration ${holder.index.generation} has no ${refusal.version}"
+                val detail = "model version ${refusal.version} isn't in configuration ${holder.index.generation} of this router"
                 Refusal.notRun(ResultCode.SESSION_VERSION_UNKNOWN, detail, RETRY_AFTER)
             }
         }
 
-    private fun otherModel(
+    private fun modelDiffers(
         selector: ModelSelector,
         version: ModelVersionId,
     ): Refusal {
-        val detail = "the session runs on $version, the request names $selector; begin a new session for it"
+        val detail = "the session is pinned to $version, the request asks for $selector; start a new session for it"
         return Refusal.notRun(ResultCode.SESSION_MODEL_DIFFERS, detail)
     }
 
@@ -216,13 +225,13 @@
     private fun refuse(refusal: Refusal): CompletableFuture<Answer> = Answer.Refused(refusal).completed()
 
     internal companion object {
-        /** Carries the session's token in requests and answers. */
+        /** Header that carries the session token in requests and answers. */
         const val TOKEN_HEADER = "x-session-token"
 
-        /** Carries the session's id in requests and answers. */
+        /** Header that carries the session id in requests and answers. */
         const val ID_HEADER = "x-session-id"
 
-        /** Tells in an answer that the session moved: the version it had and the one it has. */
+        /** Answer header of a session that moved: its previous and its new version, separated by a space. */
         const val MOVED_HEADER = "x-almondhaven-session-moved"
         private val ID_PATTERN = Regex("[A-Za-z0-9._~-]{1,128}")
         private val RETRY_AFTER = 1.seconds
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/StaleConfigurationFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/StaleConfigurationFilter.kt
@@ -5,7 +5,8 @@
 import java.util.concurrent.CompletableFuture
 
 /**
- * Tells the caller when the configuration that its answer rests on is no longer confirmed by the platform, for example
+ * Adds an answer header while the platform has not confirmed this router's configuration recently enough. The header
+ * states the generation in use and since when it is stale, for example
  * `x-almondhaven-configuration: 17; stale since 2026-01-31T08:00:00Z`.
  */
 internal class StaleConfigurationFilter(
@@ -17,8 +18,8 @@
         next: RequestHandler,
     ): CompletableFuture<Answer> {
         staleSince()?.let { since ->
-            val instant = Instant.ofEpochSecond(since / MILLIS_PER_SECOND)
-            exchange.journal.addAnswerHeader(HEADER, "${generation()}; stale since $instant")
+            val staleInstant = Instant.ofEpochSecond(since / MILLIS_PER_SECOND)
+            exchange.journal.addAnswerHeader(HEADER, "${generation()}; stale since $staleInstant")
         }
         return next.handle(exchange)
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/StepRunner.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/StepRunner.kt
@@ -11,13 +11,13 @@
 import dev.almondhaven.router.controller.StepObservation
 import java.util.concurrent.CompletableFuture
 
-/** Runs a request on one version and reports how that went to the [ChoiceController]. */
+/** Runs a request on one version and reports the outcome to the [ChoiceController]. */
 internal class StepRunner(
     private val choice: ChoiceController,
     private val load: VersionLoad,
     private val clock: NanoClock,
 ) {
-    /** Runs [exchange] on [version]; the outcome is reported once the answer has ended. */
+    /** Runs [exchange] on [version] and reports the outcome when the answer has ended. */
     fun run(
         exchange: Exchange,
         version: ModelVersion,
@@ -26,10 +26,10 @@
         escalated: Boolean = false,
     ): CompletableFuture<Answer> {
         val step = start(exchange, version, taskClass, escalated)
-        return next.handle(exchange.with(version)).thenApply { answer -> reporting(step, answer) }
+        return next.handle(exchange.with(version)).thenApply { answer -> reportEnd(step, answer) }
     }
 
-    /** Notes that a step on [version] begins. */
+    /** Records the start of a step on [version]; the caller reports its end. */
     fun start(
         exchange: Exchange,
         version: ModelVersion,
@@ -40,14 +40,14 @@
         return Step(exchange, EvidenceSubject(version.id, version.definedIn, taskClass), clock.nanos(), escalated)
     }
 
-    private fun reporting(
+    private fun reportEnd(
         step: Step,
         answer: Answer,
     ): Answer {
         if (answer is Answer.Streamed) {
             return Answer.Streamed(
                 answer.frames.map { frame ->
-                    frame.also { step.see(it) }
+                    frame.also { step.onFrame(it) }
                 },
             )
         }
@@ -62,7 +62,7 @@
         private val startedAt: Long,
         private val escalated: Boolean,
     ) {
-        internal fun see(frame: AnswerFrame) {
+        internal fun onFrame(frame: AnswerFrame) {
             when (frame) {
                 is AnswerFrame.Token -> Unit
                 AnswerFrame.Finished -> end(null, null, delivered = true)
@@ -70,18 +70,26 @@
             }
         }
 
-        /** Reports the end of the step; [refusal] is null when it gave an answer. */
+        /** Reports the end of the step; [refusal] is null when the step produced an answer. */
         fun end(
             refusal: Refusal?,
             confidence: ConfidenceBand?,
             delivered: Boolean,
         ) {
-            if (refusal != null && refusal.code !in VERSION_FAILURES) return
+            if (refusal != null && refusal.code !in VERSION_ERROR_CODES) return
             val tokens = exchange.journal.usage?.completionTokens
-            val milliseconds = (clock.nanos() - startedAt) / NANOS_PER_MILLISECOND
-            val pace = if (refusal == null && tokens != null && tokens > 0) milliseconds / tokens else null
+            val elapsedMillis = (clock.nanos() - startedAt) / NANOS_PER_MILLISECOND
+            val millisPerToken = if (refusal == null && tokens != null && tokens > 0) elapsedMillis / tokens else null
             choice.observe(
-                StepObservation(exchange.requestId, subject, refusal != null, pace, confidence, delivered, escalated),
+                StepObservation(
+                    exchange.requestId,
+                    subject,
+                    refusal != null,
+                    millisPerToken,
+                    confidence,
+                    delivered,
+                    escalated,
+                ),
             )
         }
     }
@@ -89,8 +97,8 @@
     private companion object {
         const val NANOS_PER_MILLISECOND = 1e6
 
-        /** Results that count as errors of the version. */
-        val VERSION_FAILURES =
+        /** Result codes that count as errors of the model version. */
+        val VERSION_ERROR_CODES =
             setOf(
                 ResultCode.ENDPOINT_FAILED,
                 ResultCode.ANSWER_MALFORMED,
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/VersionLoad.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/VersionLoad.kt
@@ -6,29 +6,29 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicInteger
 
-/** What holds for a version at the moment of the choice. */
+/** Provides the current conditions of a version, such as its utilisation, to the model choice. */
 internal fun interface VersionConditionsSource {
     fun of(version: ModelVersionId): VersionConditions
 }
 
 /**
- * Estimates a version's utilisation from this router's own requests in flight, taking it that every other router has as
+ * Estimates a version's utilisation from this router's own requests in flight, assuming that every other router has as
  * many.
  */
 internal class VersionLoad(
     private val holder: CatalogueHolder,
-    private val routers: () -> Int,
+    private val routerCount: () -> Int,
 ) : VersionConditionsSource {
     private val inFlight = ConcurrentHashMap<ModelVersionId, AtomicInteger>()
 
     override fun of(version: ModelVersionId): VersionConditions {
-        val own = inFlight[version]?.get() ?: 0
-        if (own == 0) return NO_LOAD
+        val ownInFlight = inFlight[version]?.get() ?: 0
+        if (ownInFlight == 0) return NO_LOAD
         val slots = holder.index.endpoints(version).sumOf { it.slots }
-        return if (slots == 0) NO_LOAD else VersionConditions(own.toDouble() * routers() / slots)
+        return if (slots == 0) NO_LOAD else VersionConditions(ownInFlight.toDouble() * routerCount() / slots)
     }
 
-    /** Counts a request on [version] until [journal] ends. */
+    /** Counts a request as in flight on [version] until the request of [journal] ends. */
     fun count(
         version: ModelVersionId,
         journal: RequestJournal,
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/VersionPolicy.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/VersionPolicy.kt
@@ -9,58 +9,66 @@
 import dev.almondhaven.router.controller.CatalogueHolder
 
 /**
- * Which versions a request may run on. The model choice asks for the candidates; the dispatcher asks again immediately
- * before every dispatch, of retries, hedges and escalations too, since catalogue and quarantines change meanwhile.
+ * Decides which versions a request may run on. The model choice takes its candidates from here; the dispatcher checks
+ * again immediately before every dispatch, including retries, hedges and escalations, since the catalogue and the
+ * quarantines may have changed in between.
  */
 internal class VersionPolicy(
     private val holder: CatalogueHolder,
     private val quarantines: () -> QuarantineSet,
 ) {
-    /** Versions that [exchange] may run on, after the organisation's rights, its own selector, quarantine, roll-outs. */
+    /**
+     * The versions that [exchange] may run on, given the organisation's permissions, the requested model, quarantines
+     * and roll-outs. Requests with the same [rollOutKey] are on the same side of a roll-out.
+     */
     fun candidates(
         exchange: Exchange,
-        key: String,
+        rollOutKey: String,
         epochMillis: Long,
     ): List<ModelVersion> {
         val index = holder.index
-        val covered = covered(index, exchange)
-        if (!choosesFreely(exchange)) return covered
-        val inReach = covered.filter { index.endpoints(it.id).isNotEmpty() }.ifEmpty { covered }
-        return RollOutStage.narrow(quarantines().usable(inReach), key, epochMillis)
+        val matching = matchingVersions(index, exchange)
+        if (!hasFreeVersionChoice(exchange)) return matching
+        val withEndpoints = matching.filter { index.endpoints(it.id).isNotEmpty() }.ifEmpty { matching }
+        return RollOutStage.narrow(quarantines().usable(withEndpoints), rollOutKey, epochMillis)
     }
 
-    /** Why [exchange] may not be dispatched to its version now, or null when it may. */
+    /** The refusal of [exchange] if it must not be dispatched to its version now; null if it may be. */
     fun dispatchRefusal(exchange: Exchange): Refusal? {
         val version = exchange.version ?: return null
         val index = holder.index
         val outcome = exchange.journal.errorOutcome()
         if (!index.mayRun(exchange.organisation.id, version.id)) {
-            return Refusal(ResultCode.UNKNOWN_MODEL, "${version.id} is no longer allowed", outcome)
+            return Refusal(
+                ResultCode.UNKNOWN_MODEL,
+                "the organisation may no longer use model version ${version.id}",
+                outcome,
+            )
         }
         val current = index.version(version.id) ?: version
-        val alreadyAnswering = exchange.resumeAfter > 0
-        if (alreadyAnswering || !choosesFreely(exchange) || !quarantines().holds(current)) return null
-        val usable = quarantines().usable(covered(index, exchange))
+        val isResuming = exchange.resumeAfter > 0
+        if (isResuming || !hasFreeVersionChoice(exchange) || !quarantines().holds(current)) return null
+        val usable = quarantines().usable(matchingVersions(index, exchange))
         if (usable.any { it.id == version.id }) return null
-        return Refusal(ResultCode.VERSION_QUARANTINED, "${version.id} is in quarantine", outcome)
+        return Refusal(ResultCode.VERSION_QUARANTINED, "model version ${version.id} is quarantined", outcome)
     }
 
-    /** Whether the request is bound neither by its session nor by the caller's naming a version. */
-    fun choosesFreely(exchange: Exchange): Boolean =
+    /** Whether neither the session nor the caller has fixed the version of the request. */
+    fun hasFreeVersionChoice(exchange: Exchange): Boolean =
         exchange.pinnedVersion == null && (exchange.call as? Call.Model)?.selector !is ModelSelector.Version
 
-    private fun covered(
+    private fun matchingVersions(
         index: CatalogueIndex,
         exchange: Exchange,
     ): List<ModelVersion> {
         val call = exchange.call as? Call.Model ?: return emptyList()
         val pinned = exchange.pinnedVersion
         return index.allowedVersions(exchange.organisation.id).filter { version ->
-            if (pinned != null) version.id == pinned else call.selector.covers(version)
+            if (pinned != null) version.id == pinned else call.selector.matches(version)
         }
     }
 
-    private fun ModelSelector.covers(version: ModelVersion): Boolean =
+    private fun ModelSelector.matches(version: ModelVersion): Boolean =
         when (this) {
             ModelSelector.Any -> true
             is ModelSelector.Model -> version.model == model
--- a/router/src/test/kotlin/dev/almondhaven/router/filter/ModelChoiceFilterTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/filter/ModelChoiceFilterTest.kt
@@ -22,11 +22,11 @@
 import strikt.assertions.isTrue
 
 class ModelChoiceFilterTest {
-    private val sure = -0.05
-    private val unsure = -1.5
+    private val confident = -0.05
+    private val unconfident = -1.5
 
-    private fun versions(scene: ModelChoiceFixture): List<String> =
-        scene.sent.map {
+    private fun forwardedModels(fixture: ModelChoiceFixture): List<String> =
+        fixture.forwarded.map {
             it.version
                 ?.model
                 ?.value
@@ -49,15 +49,18 @@
             }
         }
 
-    /** Only the first step is asked for log-probabilities; the fake engine always sends them. */
-    private val strongWithLogProbabilities =
+    /**
+     * The answer of the second step: the router requests and removes log-probabilities only in the first step, and the
+     * fake engine always sends them.
+     */
+    private val strongAnswerWithLogProbabilities =
         """{"choices":[{"message":{"content":"strong"},"finish_reason":"stop",""" +
             """"logprobs":{"content":[{"token":"strong","logprob":-0.05}]}}]}"""
 
-    private fun plain(content: String): String =
+    private fun answerWithoutLogProbabilities(content: String): String =
         """{"choices":[{"message":{"content":"$content"},"finish_reason":"stop"}]}"""
 
-    private fun quarantine(version: ModelVersion): QuarantineSet {
+    private fun quarantineOf(version: ModelVersion): QuarantineSet {
         val evidence =
             TrialEvidence(TrialMeasure.ERROR_RATE, TrialReference.PREDECESSOR, 9.0, 8.0, 50, 0.4, 60, 0.01)
         return QuarantineSet.of(listOf(Quarantine(version.id, version.definedIn, 1, RouterId("r"), evidence)))
@@ -66,81 +69,77 @@
     @Nested
     inner class `a cascade` {
         @Test
-        fun `ends with a confident cheap answer, without the log-probabilities that it asked for`() {
-            val scene = ModelChoiceFixture()
+        fun `returns a confident cheap answer without the log-probabilities that the router requested`() {
+            val fixture = ModelChoiceFixture()
 
-            val answer = scene.run(scene.exchange()) { ModelChoiceFixture.whole("cheap", sure) }
+            val answer = fixture.run(fixture.exchange()) { ModelChoiceFixture.complete("cheap", confident) }
 
-            expectThat(versions(scene)).containsExactly("small")
-            expectThat(text(answer)).isEqualTo(plain("cheap"))
+            expectThat(forwardedModels(fixture)).containsExactly("small")
+            expectThat(text(answer)).isEqualTo(answerWithoutLogProbabilities("cheap"))
         }
 
         @Test
-        fun `shows nothing of an answer that it takes back`() {
-            val scene = ModelChoiceFixture()
+        fun `sends the caller nothing of a discarded answer`() {
+            val fixture = ModelChoiceFixture()
 
             val answer =
-                scene.run(scene.exchange(streamed = true)) { step ->
-                    if (step.version == scene.small) {
-                        ModelChoiceFixture.streamed("cheap", unsure)
+                fixture.run(fixture.exchange(streamed = true)) { step ->
+                    if (step.version == fixture.small) {
+                        ModelChoiceFixture.streamed("cheap", unconfident)
                     } else {
-                        ModelChoiceFixture.streamed("strong", sure)
+                        ModelChoiceFixture.streamed("strong", confident)
                     }
                 }
 
-            expectThat(versions(scene)).containsExactly("small", "large")
-            expectThat(text(answer)).isEqualTo(strongWithLogProbabilities)
+            expectThat(forwardedModels(fixture)).containsExactly("small", "large")
+            expectThat(text(answer)).isEqualTo(strongAnswerWithLogProbabilities)
         }
 
         @Test
-        fun `notes the usage of both steps`() {
-            val scene = ModelChoiceFixture()
-            val exchange = scene.exchange()
+        fun `records the usage of both steps`() {
+            val fixture = ModelChoiceFixture()
+            val exchange = fixture.exchange()
 
-            scene.run(exchange) { ModelChoiceFixture.whole("any", unsure) }
+            fixture.run(exchange) { ModelChoiceFixture.complete("any", unconfident) }
 
             expectThat(exchange.journal.discardedSteps)
-                .containsExactly(RequestStep(scene.small.id, EndpointId("e"), Usage(10, 5)))
-            expectThat(exchange.journal.servedVersion).isEqualTo(scene.large.id)
+                .containsExactly(RequestStep(fixture.small.id, EndpointId("e"), Usage(10, 5)))
+            expectThat(exchange.journal.servedVersion).isEqualTo(fixture.large.id)
             expectThat(exchange.journal.usage).isEqualTo(Usage(10, 5))
         }
 
         @Test
-        fun `gives the cheap answer after all when the escalation fails, and says so`() {
-            val scene = ModelChoiceFixture()
-            val exchange = scene.exchange()
+        fun `returns the cheap answer with a quality header when the escalation fails`() {
+            val fixture = ModelChoiceFixture()
+            val exchange = fixture.exchange()
 
             val answer =
-                scene.run(exchange) { step ->
+                fixture.run(exchange) { step ->
                     val refusal = Refusal(ResultCode.ENDPOINT_FAILED, "no", Outcome.UNKNOWN)
-                    if (step.version ==
-                        scene.small
-                    ) {
-                        ModelChoiceFixture.whole("cheap", unsure)
+                    if (step.version == fixture.small) {
+                        ModelChoiceFixture.complete("cheap", unconfident)
                     } else {
                         Answer.Refused(refusal)
                     }
                 }
 
-            expectThat(text(answer)).isEqualTo(plain("cheap"))
-            expectThat(exchange.journal.servedVersion).isEqualTo(scene.small.id)
+            expectThat(text(answer)).isEqualTo(answerWithoutLogProbabilities("cheap"))
+            expectThat(exchange.journal.servedVersion).isEqualTo(fixture.small.id)
             expectThat(exchange.journal.answerHeaders)
                 .containsExactly(AnswerHeader("x-almondhaven-quality", "below_target"))
         }
 
         @Test
         fun `escalates when the cheap step fails`() {
-            val scene = ModelChoiceFixture()
+            val fixture = ModelChoiceFixture()
 
             val answer =
-                scene.run(scene.exchange()) { step ->
+                fixture.run(fixture.exchange()) { step ->
                     val refusal = Refusal(ResultCode.ENDPOINT_FAILED, "no", Outcome.UNKNOWN)
-                    if (step.version ==
-                        scene.small
-                    ) {
+                    if (step.version == fixture.small) {
                         Answer.Refused(refusal)
                     } else {
-                        ModelChoiceFixture.whole("strong", sure)
+                        ModelChoiceFixture.complete("strong", confident)
                     }
                 }
 
@@ -148,99 +147,101 @@
         }
 
         @Test
-        fun `doesn't escalate to a version withdrawn during the first step`() {
-            val scene = ModelChoiceFixture()
+        fun `does not dispatch to a version withdrawn during the first step`() {
+            val fixture = ModelChoiceFixture()
 
-            scene.run(scene.exchange()) {
-                val withdrawn = scene.large.copy(state = VersionState.WITHDRAWN)
-                scene.holder.offer(scene.catalogue(2, listOf(scene.small, withdrawn)))
-                ModelChoiceFixture.whole("cheap", unsure)
+            fixture.run(fixture.exchange()) {
+                val withdrawn = fixture.large.copy(state = VersionState.WITHDRAWN)
+                fixture.holder.offer(fixture.catalogue(2, listOf(fixture.small, withdrawn)))
+                ModelChoiceFixture.complete("cheap", unconfident)
             }
 
-            expectThat(scene.sent.map { scene.policy.dispatchRefusal(it)?.code })
+            expectThat(fixture.forwarded.map { fixture.policy.dispatchRefusal(it)?.code })
                 .containsExactly(null, ResultCode.UNKNOWN_MODEL)
         }
     }
 
     @Nested
-    inner class `a request that names its version` {
+    inner class `a request with a fixed version` {
         @Test
-        fun `gets it, also in quarantine`() {
-            val scene = ModelChoiceFixture()
-            scene.quarantines = quarantine(scene.small)
+        fun `runs on the version named by the caller even if it is quarantined`() {
+            val fixture = ModelChoiceFixture()
+            fixture.quarantines = quarantineOf(fixture.small)
 
-            scene.run(scene.exchange(selector = ModelSelector.Version(scene.small.id))) {
-                ModelChoiceFixture.whole("cheap", unsure)
+            fixture.run(fixture.exchange(selector = ModelSelector.Version(fixture.small.id))) {
+                ModelChoiceFixture.complete("cheap", unconfident)
             }
 
-            expectThat(versions(scene)).containsExactly("small")
+            expectThat(forwardedModels(fixture)).containsExactly("small")
         }
 
         @Test
-        fun `by its session gets it`() {
-            val scene = ModelChoiceFixture()
+        fun `runs on the version pinned by its session`() {
+            val fixture = ModelChoiceFixture()
 
-            scene.run(scene.exchange().pinnedTo(scene.small.id)) { ModelChoiceFixture.whole("cheap", unsure) }
+            fixture.run(fixture.exchange().pinnedTo(fixture.small.id)) {
+                ModelChoiceFixture.complete("cheap", unconfident)
+            }
 
-            expectThat(versions(scene)).containsExactly("small")
+            expectThat(forwardedModels(fixture)).containsExactly("small")
         }
     }
 
     @Nested
-    inner class `a version in quarantine` {
+    inner class `a quarantined version` {
         @Test
-        fun `gets no new request`() {
-            val scene = ModelChoiceFixture()
-            scene.quarantines = quarantine(scene.small)
+        fun `receives no new requests`() {
+            val fixture = ModelChoiceFixture()
+            fixture.quarantines = quarantineOf(fixture.small)
 
-            scene.run(scene.exchange()) { ModelChoiceFixture.whole("any", sure) }
+            fixture.run(fixture.exchange()) { ModelChoiceFixture.complete("any", confident) }
 
-            expectThat(versions(scene)).containsExactly("large")
+            expectThat(forwardedModels(fixture)).containsExactly("large")
         }
 
         @Test
-        fun `is left at the last moment, and another one chosen`() {
-            val scene = ModelChoiceFixture()
-            val exchange = scene.exchange()
-            val chosen = exchange.with(scene.small)
-            scene.quarantines = quarantine(scene.small)
-
-            expectThat(scene.policy.dispatchRefusal(chosen)?.code).isEqualTo(ResultCode.VERSION_QUARANTINED)
-            expectThat(scene.policy.dispatchRefusal(chosen)?.outcome).isEqualTo(Outcome.NOT_RUN)
+        fun `is refused as not run when the quarantine starts after the choice`() {
+            val fixture = ModelChoiceFixture()
+            val exchange = fixture.exchange()
+            val chosen = exchange.with(fixture.small)
+            fixture.quarantines = quarantineOf(fixture.small)
+
+            expectThat(fixture.policy.dispatchRefusal(chosen)?.code).isEqualTo(ResultCode.VERSION_QUARANTINED)
+            expectThat(fixture.policy.dispatchRefusal(chosen)?.outcome).isEqualTo(Outcome.NOT_RUN)
         }
 
         @Test
-        fun `serves all the same when it is the last one allowed`() {
-            val scene = ModelChoiceFixture()
-            scene.quarantines = quarantine(scene.small).merge(quarantine(scene.large))
+        fun `still serves requests when every allowed version is quarantined`() {
+            val fixture = ModelChoiceFixture()
+            fixture.quarantines = quarantineOf(fixture.small).merge(quarantineOf(fixture.large))
 
-            val answer = scene.run(scene.exchange()) { ModelChoiceFixture.whole("any", sure) }
+            val answer = fixture.run(fixture.exchange()) { ModelChoiceFixture.complete("any", confident) }
 
             expectThat(answer is Answer.Refused).isEqualTo(false)
-            expectThat(scene.sent.size).isEqualTo(1)
+            expectThat(fixture.forwarded.size).isEqualTo(1)
         }
     }
 
     @Nested
-    inner class `a target out of reach` {
+    inner class `a quality target out of reach` {
         @Test
-        fun `is refused as not run when the organisation says so`() {
-            val scene = ModelChoiceFixture(QualityTarget(0.999, whenMissed = TargetMissedRule.REFUSE))
+        fun `is refused as not run when the organisation requires refusal`() {
+            val fixture = ModelChoiceFixture(QualityTarget(0.999, whenMissed = TargetMissedRule.REFUSE))
 
-            val answer = scene.run(scene.exchange()) { ModelChoiceFixture.whole("any", sure) }
+            val answer = fixture.run(fixture.exchange()) { ModelChoiceFixture.complete("any", confident) }
 
             expectThat(text(answer)).isEqualTo("TARGET_MISSED NOT_RUN")
-            expectThat(scene.sent.size).isEqualTo(0)
+            expectThat(fixture.forwarded.size).isEqualTo(0)
         }
 
         @Test
-        fun `gets the best available and a header otherwise`() {
-            val scene = ModelChoiceFixture(QualityTarget(0.999))
-            val exchange = scene.exchange()
+        fun `is answered by the best available version with a quality header otherwise`() {
+            val fixture = ModelChoiceFixture(QualityTarget(0.999))
+            val exchange = fixture.exchange()
 
-            scene.run(exchange) { ModelChoiceFixture.whole("any", sure) }
+            fixture.run(exchange) { ModelChoiceFixture.complete("any", confident) }
 
-            expectThat(versions(scene)).containsExactly("large")
+            expectThat(forwardedModels(fixture)).containsExactly("large")
             expectThat(exchange.journal.answerHeaders)
                 .containsExactly(AnswerHeader("x-almondhaven-quality", "below_target"))
         }
--- a/router/src/test/kotlin/dev/almondhaven/router/filter/ModelChoiceFixture.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/filter/ModelChoiceFixture.kt
@@ -36,7 +36,7 @@
 import java.time.InstantSource
 import java.util.concurrent.CompletableFuture
 
-/** The model choice before a fake engine: two models, one cheap and one strong, and one organisation. */
+/** Runs the model choice against a fake engine, with a cheap and a strong model and one organisation. */
 internal class ModelChoiceFixture(
     target: QualityTarget = QualityTarget(0.93),
 ) {
@@ -54,8 +54,8 @@
     var quarantines = QuarantineSet.EMPTY
     val policy = VersionPolicy(holder) { quarantines }
 
-    /** What reached the engine, in order. */
-    val sent = mutableListOf<Exchange>()
+    /** Exchanges passed on for dispatch, in order, including those that the policy then refuses. */
+    val forwarded = mutableListOf<Exchange>()
 
     private val controller = ChoiceController(RouterId("r"), holder, { TrialLimits() })
     private val load = VersionLoad(holder) { 1 }
@@ -95,21 +95,21 @@
         ).with(organisation).with(Call.Model("/v1/chat/completions", selector, body, streamed))
     }
 
-    /** Runs [exchange] before an engine that answers with [answer]. */
+    /** Runs [exchange] against an engine that answers with [answer]. */
     fun run(
         exchange: Exchange,
         answer: (Exchange) -> Answer,
     ): Answer =
         filter
             .handle(exchange) { step ->
-                sent += step
-                val dispatchRefusal = policy.dispatchRefusal(step)
-                if (dispatchRefusal == null) {
+                forwarded += step
+                val refusal = policy.dispatchRefusal(step)
+                if (refusal == null) {
                     step.journal.recordDispatch()
                     step.journal.recordServed(step.version?.id, EndpointId("e"))
                     step.journal.recordUsage(Usage(10, 5))
                 }
-                CompletableFuture.completedFuture(dispatchRefusal?.let { Answer.Refused(it) } ?: answer(step))
+                CompletableFuture.completedFuture(refusal?.let { Answer.Refused(it) } ?: answer(step))
             }.join()
 
     private fun version(
@@ -126,13 +126,13 @@
         )
 
     companion object {
-        /** A whole answer with this text and mean log-probability. */
-        fun whole(
+        /** A non-streaming answer with [text] as a single token of [logProbability]. */
+        fun complete(
             text: String,
             logProbability: Double,
         ): Answer = Answer.Complete(HttpStatus.OK, MediaType.JSON, HttpData.ofUtf8(chunk(text, logProbability)))
 
-        /** A streamed answer of one chunk. */
+        /** A streamed answer of one chunk, with [text] as a single token of [logProbability]. */
         fun streamed(
             text: String,
             logProbability: Double,
