--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/AnswerFrameDecoder.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/AnswerFrameDecoder.kt
@@ -14,10 +14,11 @@
 import kotlinx.serialization.json.longOrNull
 
 /**
- * Turns an engine's events into answer frames. Duplicates and frames behind the end are dropped; a stream that ends
- * without `[DONE]`, or holds what isn't JSON, ends with [AnswerFrame.Failed].
+ * Decodes an engine's server-sent events into answer frames. Drops duplicate events and events after the end of the
+ * answer. A stream that ends without `[DONE]`, or contains an event that is not a JSON object, ends with
+ * [AnswerFrame.Failed].
  *
- * @param resumedAfter sequence number behind which the engine said it begins; 0 for a whole answer.
+ * @param resumedAfter sequence number after which the engine states that its answer begins; 0 for a full answer.
  */
 internal class AnswerFrameDecoder(
     private val journal: RequestJournal,
@@ -26,39 +27,39 @@
     private var lastSequence = resumedAfter
     private var ended = false
 
-    /** The frames of the answer in [events]. */
-    fun of(events: StreamMessage<ServerSentEvent>): StreamMessage<AnswerFrame> {
+    /** Decodes [events] into frames. */
+    fun decode(events: StreamMessage<ServerSentEvent>): StreamMessage<AnswerFrame> {
         val frames = events.map(::toFrame)
-        val completed = StreamMessage.concat(recovered(frames), StreamMessage.of(END_MARK).map { cutOrDropped() })
-        return completed.filter { it !== DROPPED }
+        val end = StreamMessage.of(END_OF_STREAM).map { truncatedFrame() }
+        return StreamMessage.concat(recoverErrors(frames), end).filter { it !== DROPPED }
     }
 
-    private fun recovered(frames: StreamMessage<AnswerFrame>): StreamMessage<AnswerFrame> =
-        frames.recoverAndResume { cause -> StreamMessage.of(broken(cause)) }
+    private fun recoverErrors(frames: StreamMessage<AnswerFrame>): StreamMessage<AnswerFrame> =
+        frames.recoverAndResume { cause -> StreamMessage.of(errorFrame(cause)) }
 
-    private fun broken(cause: Throwable): AnswerFrame =
+    private fun errorFrame(cause: Throwable): AnswerFrame =
         if (cause is ResponseTimeoutException) {
-            fail(ResultCode.DEADLINE_EXCEEDED, "the deadline passed during the answer")
+            fail(ResultCode.DEADLINE_EXCEEDED, "the deadline passed before the answer was complete")
         } else {
-            fail(ResultCode.ANSWER_CUT, "the endpoint's answer broke off: ${cause.message}")
+            fail(ResultCode.ANSWER_CUT, "the endpoint's answer was cut off: ${cause.message}")
         }
 
     private fun toFrame(event: ServerSentEvent): AnswerFrame {
         if (ended) return DROPPED
-        if (event.data == DONE) {
+        if (event.data == DONE_EVENT) {
             ended = true
             return AnswerFrame.Finished
         }
         val sequence = event.id?.toLongOrNull() ?: (lastSequence + 1)
         if (sequence <= lastSequence) return DROPPED
-        val chunk = parse(event.data) ?: return fail(ResultCode.ANSWER_MALFORMED, "an event isn't a JSON object")
+        val chunk = parseOrNull(event.data) ?: return fail(ResultCode.ANSWER_MALFORMED, "an event is not a JSON object")
         lastSequence = sequence
-        usageOf(chunk)?.let { journal.recordUsage(it) }
+        usageOrNull(chunk)?.let { journal.recordUsage(it) }
         return AnswerFrame.Token(sequence, event.data)
     }
 
-    private fun cutOrDropped(): AnswerFrame =
-        if (ended) DROPPED else fail(ResultCode.ANSWER_CUT, "the endpoint's answer ended early")
+    private fun truncatedFrame(): AnswerFrame =
+        if (ended) DROPPED else fail(ResultCode.ANSWER_CUT, "the answer ended before the endpoint completed it")
 
     private fun fail(
         code: ResultCode,
@@ -69,7 +70,7 @@
         return AnswerFrame.Failed(Refusal(code, detail, journal.errorOutcome()))
     }
 
-    private fun parse(data: String): JsonObject? =
+    private fun parseOrNull(data: String): JsonObject? =
         try {
             Json.parseToJsonElement(data) as? JsonObject
         } catch (_: SerializationException) {
@@ -77,12 +78,14 @@
         }
 
     internal companion object {
-        private const val DONE = "[DONE]"
-        private const val END_MARK = "end"
+        private const val DONE_EVENT = "[DONE]"
+        private const val END_OF_STREAM = "end"
+
+        /** Placeholder for a frame to drop; compared by identity and never delivered. */
         private val DROPPED = AnswerFrame.Token(sequence = -1, data = "")
 
-        /** The tokens that an engine's answer or chunk reports, if it does. */
-        fun usageOf(answer: JsonObject): Usage? {
+        /** The token usage reported in an engine's answer or chunk; null if it reports none. */
+        fun usageOrNull(answer: JsonObject): Usage? {
             val usage = answer["usage"] as? JsonObject ?: return null
             val prompt = (usage["prompt_tokens"] as? JsonPrimitive)?.longOrNull ?: return null
             val completion = (usage["completion_tokens"] as? JsonPrimitive)?.longOrNull ?: return null
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/AnswerRelay.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/AnswerRelay.kt
@@ -16,13 +16,13 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration
 
-/** A further attempt at a streamed answer. */
+/** The answer of a further attempt, and the exchange that belongs to that attempt. */
 internal class Resumption(
     val exchange: Exchange,
     val answer: Answer,
 )
 
-/** Starts another attempt after [Refusal], or completes with null when there is to be none. */
+/** Starts another attempt after a failed one, or completes with null if the request must not be retried. */
 internal fun interface Resumer {
     fun resume(
         failed: Exchange,
@@ -32,9 +32,10 @@
 }
 
 /**
- * Makes one stream for the caller out of the streams of one or more attempts. Frames that the caller already has, and
- * frames of an attempt that was given up, are dropped; the stream ends in exactly one terminal frame. All state belongs
- * to the exchange's event loop. At most [WINDOW] frames wait for a slow caller here; the rest waits in the HTTP/2 window.
+ * Joins the streams of one or more attempts into one stream for the caller. Drops frames that the caller already has
+ * and frames of abandoned attempts; the stream ends with exactly one terminal frame. All state is confined to the
+ * exchange's event loop. At most [WINDOW_FRAMES] frames are buffered here for a slow caller; beyond that, HTTP/2 flow
+ * control holds the endpoint back.
  */
 internal class AnswerRelay(
     private val settings: EndpointSettings,
@@ -49,25 +50,25 @@
     private var lastSequence = 0L
     private var ended = false
 
-    /** The caller's stream, fed at first from [frames] of the exchange's attempt. */
+    /** Returns the caller's stream, which begins with [frames] of the attempt of [exchange]. */
     fun start(
         exchange: Exchange,
         frames: StreamMessage<AnswerFrame>,
     ): StreamMessage<AnswerFrame> {
-        output.whenComplete().handleAsync({ _, _ -> callerLeft() }, eventLoop)
-        follow(exchange, frames)
+        output.whenComplete().handleAsync({ _, _ -> onCallerDisconnected() }, eventLoop)
+        readFrom(exchange, frames)
         return output
     }
 
-    private fun follow(
+    private fun readFrom(
         exchange: Exchange,
         frames: StreamMessage<AnswerFrame>,
     ) {
         if (ended) return abandon(exchange, frames)
-        val next = Source(exchange)
-        source = next
-        frames.subscribe(next, eventLoop)
-        next.watch(settings.firstByteDeadline)
+        val newSource = Source(exchange)
+        source = newSource
+        frames.subscribe(newSource, eventLoop)
+        newSource.scheduleCheck(settings.firstByteDeadline)
     }
 
     private fun abandon(
@@ -78,13 +79,13 @@
         exchange.attempt.recordEnd(AttemptResult.ABANDONED)
     }
 
-    private fun callerLeft() {
+    private fun onCallerDisconnected() {
         if (ended) return
         ended = true
         source?.stop(AttemptResult.ABANDONED)
     }
 
-    private fun failed(
+    private fun resumeOrFail(
         exchange: Exchange,
         refusal: Refusal,
     ) {
@@ -93,7 +94,7 @@
             val answer = resumption?.answer
             when {
                 error != null || resumption == null -> finish(AnswerFrame.Failed(refusal))
-                answer is Answer.Streamed -> follow(resumption.exchange, answer.frames)
+                answer is Answer.Streamed -> readFrom(resumption.exchange, answer.frames)
                 answer is Answer.Refused -> finish(AnswerFrame.Failed(answer.refusal))
                 else -> finish(AnswerFrame.Failed(refusal))
             }
@@ -106,25 +107,25 @@
         if (output.tryWrite(last)) output.close()
     }
 
-    /** Reads one attempt's frames. */
+    /** Reads the frames of one attempt and detects a stalled endpoint or caller. */
     private inner class Source(
         private val exchange: Exchange,
     ) : Subscriber<AnswerFrame> {
         private var subscription: Subscription? = null
-        private var requested = 0
+        private var outstandingFrames = 0
         private var stopped = false
-        private var waitingSince = clock.nanos()
+        private var lastProgressAt = clock.nanos()
 
         override fun onSubscribe(subscription: Subscription) {
             this.subscription = subscription
-            if (stopped) subscription.cancel() else demand()
+            if (stopped) subscription.cancel() else requestFrames()
         }
 
         override fun onNext(frame: AnswerFrame) {
             if (stopped) return
-            waitingSince = clock.nanos()
-            exchange.attempt.connection?.recordProgress(waitingSince)
-            requested--
+            lastProgressAt = clock.nanos()
+            exchange.attempt.connection?.recordProgress(lastProgressAt)
+            outstandingFrames--
             when (frame) {
                 is AnswerFrame.Token -> deliver(frame)
                 is AnswerFrame.Finished -> succeed(frame)
@@ -132,9 +133,10 @@
             }
         }
 
-        override fun onError(cause: Throwable): Unit = fail(cut("the endpoint's answer broke off: ${cause.message}"))
+        override fun onError(cause: Throwable): Unit =
+            fail(truncated("the endpoint's answer was cut off: ${cause.message}"))
 
-        override fun onComplete(): Unit = fail(cut("the endpoint's answer ended early"))
+        override fun onComplete(): Unit = fail(truncated("the answer ended before the endpoint completed it"))
 
         fun stop(result: AttemptResult) {
             if (stopped) return
@@ -143,29 +145,29 @@
             exchange.attempt.recordEnd(result)
         }
 
-        fun watch(deadline: Duration) {
-            val left = deadline.inWholeNanoseconds - (clock.nanos() - waitingSince)
-            eventLoop.schedule({ check(deadline) }, maxOf(left, 0), TimeUnit.NANOSECONDS)
+        fun scheduleCheck(deadline: Duration) {
+            val remaining = deadline.inWholeNanoseconds - (clock.nanos() - lastProgressAt)
+            eventLoop.schedule({ checkProgress(deadline) }, maxOf(remaining, 0), TimeUnit.NANOSECONDS)
         }
 
-        private fun check(deadline: Duration) {
+        private fun checkProgress(deadline: Duration) {
             if (stopped || ended) return
-            val applied = if (requested == 0) settings.callerStall else deadline
-            if (clock.elapsed(waitingSince) < applied) return watch(currentDeadline(applied))
-            if (requested == 0) callerStalled() else silent()
+            val timeout = if (outstandingFrames == 0) settings.callerStall else deadline
+            if (clock.elapsed(lastProgressAt) < timeout) return scheduleCheck(currentTimeout(timeout))
+            if (outstandingFrames == 0) onCallerStalled() else onEndpointSilent()
         }
 
-        private fun currentDeadline(applied: Duration): Duration =
+        private fun currentTimeout(previous: Duration): Duration =
             when {
-                requested == 0 -> applied
+                outstandingFrames == 0 -> previous
                 exchange.attempt.firstTokenAt == 0L -> settings.firstByteDeadline
                 else -> settings.tokenDeadline
             }
 
-        private fun demand() {
-            requested = WINDOW
-            waitingSince = clock.nanos()
-            subscription?.request(WINDOW.toLong())
+        private fun requestFrames() {
+            outstandingFrames = WINDOW_FRAMES
+            lastProgressAt = clock.nanos()
+            subscription?.request(WINDOW_FRAMES.toLong())
         }
 
         private fun deliver(frame: AnswerFrame.Token) {
@@ -174,8 +176,8 @@
                 lastSequence = frame.sequence
                 if (!output.tryWrite(frame)) return
             }
-            if (requested == 0) {
-                output.whenConsumed().handleAsync({ _, _ -> if (!stopped) demand() }, eventLoop)
+            if (outstandingFrames == 0) {
+                output.whenConsumed().handleAsync({ _, _ -> if (!stopped) requestFrames() }, eventLoop)
             }
         }
 
@@ -187,26 +189,28 @@
         private fun fail(refusal: Refusal) {
             if (stopped) return
             stop(if (refusal.code == ResultCode.ANSWER_CUT) AttemptResult.CONNECTION_LOST else AttemptResult.FAILED)
-            if (!ended) failed(exchange, refusal)
+            if (!ended) resumeOrFail(exchange, refusal)
         }
 
-        private fun silent() {
+        private fun onEndpointSilent() {
             exchange.attempt.connection?.closeIfSilent(settings.tokenDeadline, clock)
-            fail(Refusal(ResultCode.ENDPOINT_SILENT, "the endpoint sent nothing in time", journal.errorOutcome()))
+            val detail = "the endpoint sent nothing before the silence deadline"
+            fail(Refusal(ResultCode.ENDPOINT_SILENT, detail, journal.errorOutcome()))
         }
 
-        private fun callerStalled() {
-            val refusal = Refusal(ResultCode.CALLER_TOO_SLOW, "the answer wasn't taken in time", journal.errorOutcome())
+        private fun onCallerStalled() {
+            val detail = "the caller did not read the answer before the stall timeout"
+            val refusal = Refusal(ResultCode.CALLER_TOO_SLOW, detail, journal.errorOutcome())
             stop(AttemptResult.ABANDONED)
             journal.recordRefusal(refusal)
             ended = true
             output.abort()
         }
 
-        private fun cut(detail: String): Refusal = Refusal(ResultCode.ANSWER_CUT, detail, journal.errorOutcome())
+        private fun truncated(detail: String): Refusal = Refusal(ResultCode.ANSWER_CUT, detail, journal.errorOutcome())
     }
 
     private companion object {
-        const val WINDOW = 32
+        const val WINDOW_FRAMES = 32
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/Dispatcher.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/Dispatcher.kt
@@ -44,12 +44,12 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** The first byte of an answer didn't come in time. */
+/** Aborts a response of which nothing arrived before the first-byte deadline. */
 private class EndpointSilentException : RuntimeException(null, null, false, false)
 
 /**
- * The end of the filter chain: sends the request to the chosen endpoint and reads its answer. Immediately before the
- * dispatch it checks once more, against the newest catalogue and quarantines, that the version is allowed.
+ * The final handler of the filter chain: sends the request to the chosen endpoint and reads the answer. Immediately
+ * before the dispatch it checks again, against the current catalogue and quarantines, that the version may be used.
  */
 internal class Dispatcher(
     private val holder: CatalogueHolder,
@@ -57,23 +57,23 @@
     private val clients: EndpointClients,
     private val clock: NanoClock,
     private val firstByteDeadline: Duration,
-    private val nonIdempotentLimit: Duration = DEFAULT_RUN_LIMIT,
+    private val nonIdempotentTimeout: Duration = DEFAULT_NON_IDEMPOTENT_TIMEOUT,
 ) : RequestHandler {
     override fun handle(exchange: Exchange): CompletableFuture<Answer> {
         val remaining = (exchange.deadline - clock.nanos()).nanoseconds
         if (!remaining.isPositive()) {
-            return refused(exchange, ResultCode.DEADLINE_EXCEEDED, "the deadline passed before the dispatch")
+            return refuse(exchange, ResultCode.DEADLINE_EXCEEDED, "the deadline passed before the dispatch")
         }
         policy.dispatchRefusal(exchange)?.let { return Answer.Refused(it).completed() }
         if (!holder.index.takesNewWork(exchange.endpoint.id)) {
-            return refused(exchange, ResultCode.NO_ENDPOINT, "endpoint ${exchange.endpoint.id} takes no new work")
+            return refuse(exchange, ResultCode.NO_ENDPOINT, "endpoint ${exchange.endpoint.id} accepts no new requests")
         }
         val gate = exchange.dispatchGate
-        // A non-idempotent call runs to its end, so that its outcome can be recorded, also when its caller has left.
-        val limit = if (gate == null) remaining else maxOf(remaining, nonIdempotentLimit)
-        val options = RequestOptions.builder().responseTimeoutMillis(limit.inWholeMilliseconds).build()
+        // A non-idempotent call runs to its end even if its caller has disconnected, so that its outcome is recorded.
+        val timeout = if (gate == null) remaining else maxOf(remaining, nonIdempotentTimeout)
+        val options = RequestOptions.builder().responseTimeoutMillis(timeout.inWholeMilliseconds).build()
         if (gate != null && !gate.tryAcquire()) {
-            return refused(exchange, ResultCode.CLAIM_BOUND_PASSED, "the claim may no longer be dispatched")
+            return refuse(exchange, ResultCode.CLAIM_BOUND_PASSED, "the call's claim no longer permits a dispatch")
         }
         val request = EndpointRequests.of(exchange)
         exchange.journal.recordDispatch()
@@ -81,7 +81,7 @@
         if (exchange.call.idempotent) exchange.journal.whenEnded { response.abort() }
         val call = exchange.call
         val streamed = call is Call.Model && call.streamed
-        return if (streamed) readStream(exchange, response) else readWhole(exchange, response)
+        return if (streamed) readStreamedAnswer(exchange, response) else readCompleteAnswer(exchange, response)
     }
 
     private fun execute(
@@ -98,46 +98,47 @@
             response
         }
 
-    private fun readWhole(
+    private fun readCompleteAnswer(
         exchange: Exchange,
         response: HttpResponse,
     ): CompletableFuture<Answer> {
-        val silence = (exchange.call as? Call.Model)?.let { abortLater(exchange, response, wholeAnswerDeadline(it)) }
+        val silenceTimer =
+            (exchange.call as? Call.Model)?.let { abortAfter(exchange, response, completeAnswerTimeout(it)) }
         return response.aggregate().handle { aggregated, cause ->
-            silence?.cancel(false)
-            if (cause != null) failure(exchange, cause) else wholeAnswer(exchange, aggregated)
+            silenceTimer?.cancel(false)
+            if (cause != null) handleFailure(exchange, cause) else completeAnswer(exchange, aggregated)
         }
     }
 
-    /** An engine sends nothing of a whole answer until it has generated all of it. */
-    private fun wholeAnswerDeadline(call: Call.Model): Duration {
+    /** An engine sends nothing of a non-streaming answer until all its tokens are generated. */
+    private fun completeAnswerTimeout(call: Call.Model): Duration {
         val tokens = (call.body["max_tokens"] as? JsonPrimitive)?.intOrNull ?: DEFAULT_ANSWER_TOKENS
-        return firstByteDeadline + WHOLE_ANSWER_TOKEN_ALLOWANCE * maxOf(tokens, 1)
+        return firstByteDeadline + TIMEOUT_PER_TOKEN * maxOf(tokens, 1)
     }
 
-    private fun abortLater(
+    private fun abortAfter(
         exchange: Exchange,
         response: HttpResponse,
-        deadline: Duration,
+        timeout: Duration,
     ): Future<*> =
         exchange.eventLoop.schedule(
             { response.abort(EndpointSilentException()) },
-            deadline.inWholeNanoseconds,
+            timeout.inWholeNanoseconds,
             TimeUnit.NANOSECONDS,
         )
 
-    private fun wholeAnswer(
+    private fun completeAnswer(
         exchange: Exchange,
         response: AggregatedHttpResponse,
     ): Answer {
         if (exchange.call is Call.Model) {
-            if (response.status() != HttpStatus.OK) return badStatus(exchange, response.status())
+            if (response.status() != HttpStatus.OK) return failWithStatus(exchange, response.status())
             val body =
-                parse(response.contentUtf8())
-                    ?: return bad(exchange, ResultCode.ANSWER_MALFORMED, "the answer isn't a JSON object")
-            AnswerFrameDecoder.usageOf(body)?.let { exchange.journal.recordUsage(it) }
+                parseOrNull(response.contentUtf8())
+                    ?: return fail(exchange, ResultCode.ANSWER_MALFORMED, "the answer is not a JSON object")
+            AnswerFrameDecoder.usageOrNull(body)?.let { exchange.journal.recordUsage(it) }
         } else if (response.status().codeClass() == HttpStatusClass.SERVER_ERROR) {
-            return badStatus(exchange, response.status())
+            return failWithStatus(exchange, response.status())
         }
         recordServed(exchange)
         exchange.attempt.recordFirstToken(clock.nanos())
@@ -146,78 +147,78 @@
         return Answer.Complete(response.status(), contentType, response.content())
     }
 
-    private fun readStream(
+    private fun readStreamedAnswer(
         exchange: Exchange,
         response: HttpResponse,
     ): CompletableFuture<Answer> {
-        val split = response.split()
-        val silence = abortLater(exchange, response, firstByteDeadline)
-        split.headers().whenComplete { _, _ -> silence.cancel(false) }
-        return split.headers().handle { headers, cause ->
-            if (cause != null) failure(exchange, cause) else streamAnswer(exchange, headers, split)
+        val splitResponse = response.split()
+        val silenceTimer = abortAfter(exchange, response, firstByteDeadline)
+        splitResponse.headers().whenComplete { _, _ -> silenceTimer.cancel(false) }
+        return splitResponse.headers().handle { headers, cause ->
+            if (cause != null) handleFailure(exchange, cause) else streamedAnswer(exchange, headers, splitResponse)
         }
     }
 
-    private fun streamAnswer(
+    private fun streamedAnswer(
         exchange: Exchange,
         headers: ResponseHeaders,
-        split: SplitHttpResponse,
+        response: SplitHttpResponse,
     ): Answer {
         if (headers.status() != HttpStatus.OK) {
-            split.body().abort()
-            return badStatus(exchange, headers.status())
+            response.body().abort()
+            return failWithStatus(exchange, headers.status())
         }
         recordServed(exchange)
-        val events = split.body().decode(ServerSentEventDecoder())
-        val resumedAfter = headers.getLong(RESUMED_AFTER, 0)
-        return Answer.Streamed(AnswerFrameDecoder(exchange.journal, resumedAfter).of(events))
+        val events = response.body().decode(ServerSentEventDecoder())
+        val resumedAfter = headers.getLong(RESUMED_AFTER_HEADER, 0)
+        return Answer.Streamed(AnswerFrameDecoder(exchange.journal, resumedAfter).decode(events))
     }
 
     private fun recordServed(exchange: Exchange): Unit =
         exchange.journal.recordServed(exchange.version?.id, exchange.endpoint.id)
 
-    private fun failure(
+    private fun handleFailure(
         exchange: Exchange,
         failure: Throwable,
     ): Answer {
         val cause = if (failure is CompletionException) failure.cause ?: failure else failure
-        val lost = cause is UnprocessedRequestException || cause is ClosedSessionException
-        if (lost && !exchange.journal.hasEnded) exchange.attempt.recordEnd(AttemptResult.CONNECTION_LOST)
+        val connectionLost = cause is UnprocessedRequestException || cause is ClosedSessionException
+        if (connectionLost && !exchange.journal.hasEnded) exchange.attempt.recordEnd(AttemptResult.CONNECTION_LOST)
         return when (cause) {
             is UnprocessedRequestException -> {
-                // Other causes, such as a failed write, don't prove that no byte was sent.
+                // Only a failed connect proves that no byte was sent; other causes, such as a failed write, do not.
                 if (cause.cause !is ConnectException) {
-                    return bad(exchange, ResultCode.ENDPOINT_FAILED, "the connection failed: ${cause.cause?.message}")
+                    return fail(exchange, ResultCode.ENDPOINT_FAILED, "the connection failed: ${cause.cause?.message}")
                 }
                 exchange.journal.recordUnsent()
                 exchange.dispatchGate?.releaseUnsent()
-                bad(exchange, ResultCode.ENDPOINT_UNREACHABLE, "${cause.cause?.message}")
+                fail(exchange, ResultCode.ENDPOINT_UNREACHABLE, "cannot connect: ${cause.cause?.message}")
             }
 
             is EndpointSilentException -> {
                 exchange.attempt.connection?.closeIfSilent(firstByteDeadline, clock)
-                bad(exchange, ResultCode.ENDPOINT_SILENT, "the endpoint sent nothing in time")
+                fail(exchange, ResultCode.ENDPOINT_SILENT, "the endpoint sent nothing before the silence deadline")
             }
 
             is ResponseTimeoutException -> {
-                bad(exchange, ResultCode.DEADLINE_EXCEEDED, "the deadline passed during the answer")
+                fail(exchange, ResultCode.DEADLINE_EXCEEDED, "the deadline passed before the answer was complete")
             }
 
             else -> {
-                bad(exchange, ResultCode.ANSWER_CUT, "the endpoint's answer broke off: ${cause.message}")
+                fail(exchange, ResultCode.ANSWER_CUT, "the endpoint's answer was cut off: ${cause.message}")
             }
         }
     }
 
-    private fun badStatus(
+    private fun failWithStatus(
         exchange: Exchange,
         status: HttpStatus,
     ): Answer {
         if (status in OVERLOAD_STATUSES) exchange.attempt.recordEnd(AttemptResult.OVERLOADED)
-        return bad(exchange, ResultCode.ENDPOINT_FAILED, "the endpoint answered $status")
+        return fail(exchange, ResultCode.ENDPOINT_FAILED, "the endpoint returned status $status")
     }
 
-    private fun bad(
+    private fun fail(
         exchange: Exchange,
         code: ResultCode,
         detail: String,
@@ -229,7 +230,7 @@
         return Answer.Refused(Refusal(code, detail, exchange.journal.errorOutcome()))
     }
 
-    private fun refused(
+    private fun refuse(
         exchange: Exchange,
         code: ResultCode,
         detail: String,
@@ -238,7 +239,7 @@
         return Answer.Refused(Refusal(code, detail, exchange.journal.errorOutcome())).completed()
     }
 
-    private fun parse(text: String): JsonObject? =
+    private fun parseOrNull(text: String): JsonObject? =
         try {
             Json.parseToJsonElement(text) as? JsonObject
         } catch (_: SerializationException) {
@@ -246,13 +247,15 @@
         }
 
     private companion object {
-        /** Tokens of a whole answer whose request sets no limit, for judging its endpoint silent. */
+        /** Assumed length of a non-streaming answer without `max_tokens`, for the silence timeout. */
         const val DEFAULT_ANSWER_TOKENS = 1_000
-        val WHOLE_ANSWER_TOKEN_ALLOWANCE = 100.milliseconds
-        val DEFAULT_RUN_LIMIT = 5.minutes
 
-        /** The engine's word that its answer begins behind this sequence number. */
-        const val RESUMED_AFTER = "x-resumed-after"
+        /** Generation time allowed for each token of a non-streaming answer. */
+        val TIMEOUT_PER_TOKEN = 100.milliseconds
+        val DEFAULT_NON_IDEMPOTENT_TIMEOUT = 5.minutes
+
+        /** Answer header in which an engine states the sequence number after which its answer begins. */
+        const val RESUMED_AFTER_HEADER = "x-resumed-after"
         val OVERLOAD_STATUSES = setOf(HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE)
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointClients.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointClients.kt
@@ -12,13 +12,13 @@
 import java.util.concurrent.ConcurrentHashMap
 import kotlin.time.Duration
 
-/** HTTP clients of the endpoints, one for each address, on the event loops that serve the callers. */
+/** HTTP clients for the endpoints, one per address. They run on the event loops that serve the callers. */
 public class EndpointClients(
     workers: EventLoopGroup,
     connectTimeout: Duration,
     pingInterval: Duration,
 ) : AutoCloseable {
-    private val closings = Closings()
+    private val closeListener = CloseListener()
     private val factory =
         ClientFactory
             .builder()
@@ -27,30 +27,32 @@
             .connectTimeoutMillis(connectTimeout.inWholeMilliseconds)
             .pingIntervalMillis(pingInterval.inWholeMilliseconds)
             .idleTimeoutMillis(0)
-            .connectionPoolListener(closings)
+            .connectionPoolListener(closeListener)
             .build()
     private val clients = ConcurrentHashMap<String, WebClient>()
 
-    /** The client of [endpoint]. */
+    /** The client for [endpoint]. */
     public fun of(endpoint: Endpoint): WebClient = clients.computeIfAbsent(endpoint.address, ::build)
 
-    /** Calls [action] with `ip:port` whenever a connection to there has closed; replaces what was set before. */
+    /**
+     * Sets the [action] to call with the remote `ip:port` when a connection has closed; replaces any earlier one.
+     */
     public fun onConnectionClosed(action: (String) -> Unit) {
-        closings.action = action
+        closeListener.action = action
     }
 
     private fun build(address: String): WebClient =
         WebClient
             .builder("http://$address")
             .factory(factory)
-            .maxResponseLength(MAXIMUM_ANSWER_BYTES)
+            .maxResponseLength(MAX_ANSWER_BYTES)
             .build()
 
     override fun close() {
         factory.closeAsync()
     }
 
-    private class Closings : ConnectionPoolListenerAdapter() {
+    private class CloseListener : ConnectionPoolListenerAdapter() {
         @Volatile
         var action: (String) -> Unit = {}
 
@@ -63,9 +65,9 @@
     }
 
     public companion object {
-        private const val MAXIMUM_ANSWER_BYTES = 64_000_000L
+        private const val MAX_ANSWER_BYTES = 64_000_000L
 
-        /** Event loops for callers and endpoints together. */
+        /** Creates the event loops that serve both callers and endpoints. */
         public fun newWorkers(threads: Int): EventLoopGroup = EventLoopGroups.newEventLoopGroup(threads, "router")
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointConnection.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointConnection.kt
@@ -7,37 +7,37 @@
 import kotlin.time.Duration
 
 /**
- * The connection that an attempt uses. Attempts on one connection share the time of its last byte, so that one silent
- * answer closes a connection only when everything else on it is silent too.
+ * The connection that carries an attempt. Attempts multiplexed on one connection share the time of its last received
+ * byte, so that one silent answer closes the connection only if all other answers on it are silent too.
  */
 public class EndpointConnection private constructor(
     private val channel: Channel,
     private val lastProgress: AtomicLong,
 ) {
-    /** Notes that bytes came on the connection. */
+    /** Records that bytes arrived on the connection at [now]. */
     public fun recordProgress(now: Long) {
         lastProgress.accumulateAndGet(now, ::maxOf)
     }
 
-    /** Closes the connection if nothing came on it for [patience]; the next request opens a new one. */
+    /** Closes the connection if nothing arrived on it for [timeout]; the next request then opens a new one. */
     public fun closeIfSilent(
-        patience: Duration,
+        timeout: Duration,
         clock: NanoClock,
     ) {
-        if (clock.elapsed(lastProgress.get()) >= patience) channel.close()
+        if (clock.elapsed(lastProgress.get()) >= timeout) channel.close()
     }
 
     public companion object {
         private val LAST_PROGRESS = AttributeKey.valueOf<AtomicLong>(EndpointConnection::class.java, "lastProgress")
 
-        /** The connection on [channel], first seen [now] or earlier. */
+        /** The connection on [channel]; a newly seen one counts [now] as its last received byte. */
         internal fun of(
             channel: Channel,
             now: Long,
         ): EndpointConnection {
             val attribute = channel.attr(LAST_PROGRESS)
-            val fresh = AtomicLong(now)
-            return EndpointConnection(channel, attribute.setIfAbsent(fresh) ?: fresh)
+            val initial = AtomicLong(now)
+            return EndpointConnection(channel, attribute.setIfAbsent(initial) ?: initial)
         }
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointDirectory.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/EndpointDirectory.kt
@@ -28,7 +28,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** What a pool serves. */
+/** Identifies a pool of endpoints by the model version or plain service that they serve. */
 public sealed interface PoolKey {
     public data class Version(
         public val id: ModelVersionId,
@@ -40,11 +40,11 @@
 }
 
 /**
- * Keeps the router's knowledge of all endpoints, on one duty thread: builds the pools whenever catalogue or fleet
- * change, and sets the endpoints' limits. Request filters read the pools without locks.
+ * Maintains the state of all endpoints on one actor thread: rebuilds the pools whenever the catalogue or the fleet
+ * changes, and sets the endpoints' concurrency limits. Request filters read the pools without locks.
  *
- * A full ring loses a load report or an attempt's latency, which the next one makes up for; health and slots don't go
- * through the ring.
+ * A full mailbox drops load reports and attempt latencies; later ones make up for the loss. Health and slots are
+ * updated directly, not through the mailbox.
  */
 public class EndpointDirectory(
     private val holder: CatalogueHolder,
@@ -55,13 +55,13 @@
     private val epochMillis: () -> Long = System::currentTimeMillis,
 ) : AutoCloseable {
     private sealed interface Message {
-        data class Reported(
+        data class ReportReceived(
             val id: EndpointId,
             val report: LoadReport,
             val takenAt: Long,
         ) : Message
 
-        data class Reportless(
+        data class ReportMissing(
             val id: EndpointId,
         ) : Message
 
@@ -69,10 +69,10 @@
             val address: String,
         ) : Message
 
-        data class Ended(
+        data class AttemptEnded(
             val id: EndpointId,
             val result: AttemptResult,
-            val firstToken: Duration?,
+            val timeToFirstToken: Duration?,
         ) : Message
 
         data class Refresh(
@@ -80,78 +80,83 @@
         ) : Message
     }
 
-    private class Known(
+    /**
+     * An endpoint in the catalogue.
+     *
+     * @property sharers routers that may send to the endpoint, among which its limit is divided while it ramps up.
+     */
+    private class KnownEndpoint(
         val state: EndpointState,
         val limiter: EndpointLimiter,
         var sharers: List<RouterId>,
     )
 
-    private val known = HashMap<EndpointId, Known>()
+    private val known = HashMap<EndpointId, KnownEndpoint>()
     private val groups = HashMap<PoolKey, EjectionGroup>()
-    private val returns = HashMap<FailureDomainId, Long>()
-    private var builtFor: CatalogueIndex? = null
-    private var builtWith: List<Member> = emptyList()
+    private val handledReturns = HashMap<FailureDomainId, Long>()
+    private var lastIndex: CatalogueIndex? = null
+    private var lastMembers: List<Member> = emptyList()
 
     @Volatile
     private var pools: Map<PoolKey, EndpointPool> = emptyMap()
 
     @Volatile
-    private var polled: List<Endpoint> = emptyList()
+    private var endpointsInUse: List<Endpoint> = emptyList()
 
-    private val duty = ActorThread.start("endpoints", RING_CAPACITY, TICK, ::tick, ::handle)
+    private val actor = ActorThread.start("endpoints", MAILBOX_CAPACITY, TICK_INTERVAL, ::tick, ::handle)
 
     /** Endpoints whose load reports this router polls. */
-    internal val polledEndpoints: List<Endpoint> get() = polled
+    internal val polledEndpoints: List<Endpoint> get() = endpointsInUse
 
-    /** Messages lost to a full ring. */
-    public val rejected: Long get() = duty.rejected
+    /** Messages dropped because the mailbox was full. */
+    public val rejected: Long get() = actor.rejected
 
-    /** The pool of [key]; null when none has been built yet. */
+    /** The pool for [key]; null if none has been built yet. */
     public fun poolOrNull(key: PoolKey): EndpointPool? = pools[key]
 
-    /** Completes once the pools reflect the catalogue in force now. */
+    /** Completes once the pools reflect the current catalogue, or at once if the mailbox is full. */
     public fun refreshPools(): CompletableFuture<Unit> {
         val done = CompletableFuture<Unit>()
-        if (!duty.offer(Message.Refresh(done))) done.complete(Unit)
+        if (!actor.offer(Message.Refresh(done))) done.complete(Unit)
         return done
     }
 
-    /** Takes a load report that describes [id] at [takenAt]. */
+    /** Records a load report that describes endpoint [id] at [takenAt]. */
     public fun report(
         id: EndpointId,
         report: LoadReport,
         takenAt: Long,
     ) {
-        duty.offer(Message.Reported(id, report, takenAt))
+        actor.offer(Message.ReportReceived(id, report, takenAt))
     }
 
-    /** Notes that [id] answers but reports no load. */
+    /** Records that endpoint [id] is reachable but reports no load. */
     public fun recordMissingLoadReport(id: EndpointId) {
-        duty.offer(Message.Reportless(id))
+        actor.offer(Message.ReportMissing(id))
     }
 
-    /** Notes that a connection to [address] closed. */
+    /** Records that a connection to [address] closed. */
     public fun recordConnectionLost(address: String) {
-        duty.offer(Message.ConnectionLost(address))
+        actor.offer(Message.ConnectionLost(address))
     }
 
-    /** Notes the end of an attempt at [id]. */
+    /** Records the end of an attempt on endpoint [id]. */
     public fun recordAttempt(
         id: EndpointId,
         result: AttemptResult,
-        firstToken: Duration?,
+        timeToFirstToken: Duration?,
     ) {
-        duty.offer(Message.Ended(id, result, firstToken))
+        actor.offer(Message.AttemptEnded(id, result, timeToFirstToken))
     }
 
-    override fun close(): Unit = duty.close()
+    override fun close(): Unit = actor.close()
 
     private fun handle(message: Message) {
         when (message) {
-            is Message.Reported -> accept(message)
-            is Message.Reportless -> reportless(message.id)
-            is Message.ConnectionLost -> connectionLost(message.address)
-            is Message.Ended -> ended(message)
+            is Message.ReportReceived -> acceptReport(message)
+            is Message.ReportMissing -> handleMissingReport(message.id)
+            is Message.ConnectionLost -> handleConnectionLost(message.address)
+            is Message.AttemptEnded -> handleAttemptEnd(message)
             is Message.Refresh -> refresh(message)
         }
     }
@@ -161,19 +166,21 @@
         message.done.complete(Unit)
     }
 
-    private fun accept(message: Message.Reported) {
+    private fun acceptReport(message: Message.ReportReceived) {
         val endpoint = known[message.id] ?: return
-        if (endpoint.limiter.acceptReport(message.report, message.takenAt)) logCold(message.id, "a new start id")
+        if (endpoint.limiter.acceptReport(message.report, message.takenAt)) {
+            logCold(message.id, "the engine restarted: its start id changed")
+        }
         endpoint.limiter.update(clock.nanos(), endpoint.sharers)
     }
 
-    private fun reportless(id: EndpointId) {
+    private fun handleMissingReport(id: EndpointId) {
         val endpoint = known[id] ?: return
         endpoint.limiter.recordReportless()
         endpoint.limiter.update(clock.nanos(), endpoint.sharers)
     }
 
-    private fun connectionLost(address: String) {
+    private fun handleConnectionLost(address: String) {
         val now = clock.nanos()
         known.values.filter { it.state.endpoint.address == address }.forEach { endpoint ->
             endpoint.limiter.recordConnectionLost(now)
@@ -181,24 +188,26 @@
         }
     }
 
-    private fun ended(message: Message.Ended) {
+    private fun handleAttemptEnd(message: Message.AttemptEnded) {
         val endpoint = known[message.id] ?: return
         val now = clock.nanos()
         when (message.result) {
-            AttemptResult.SUCCEEDED -> succeeded(endpoint, message, now)
+            AttemptResult.SUCCEEDED -> handleSuccess(endpoint, message, now)
             AttemptResult.OVERLOADED -> endpoint.limiter.recordOverload(now)
             AttemptResult.CONNECTION_LOST -> endpoint.limiter.recordConnectionLost(now)
             AttemptResult.FAILED, AttemptResult.ABANDONED -> Unit
         }
     }
 
-    private fun succeeded(
-        endpoint: Known,
-        message: Message.Ended,
+    private fun handleSuccess(
+        endpoint: KnownEndpoint,
+        message: Message.AttemptEnded,
         now: Long,
     ) {
-        val firstToken = message.firstToken ?: return
-        if (endpoint.limiter.recordSuccess(firstToken, now)) logCold(message.id, "latency collapsed")
+        val timeToFirstToken = message.timeToFirstToken ?: return
+        if (endpoint.limiter.recordSuccess(timeToFirstToken, now)) {
+            logCold(message.id, "the time to first token indicates a cold engine")
+        }
     }
 
     private fun logCold(
@@ -209,7 +218,7 @@
     private fun tick() {
         val index = holder.index
         val members = fleet.members
-        if (index !== builtFor || members != builtWith) rebuild(index, members)
+        if (index !== lastIndex || members != lastMembers) rebuild(index, members)
         val now = clock.nanos()
         known.values.forEach { it.limiter.update(now, it.sharers) }
         pools.values.forEach { it.refresh() }
@@ -220,34 +229,34 @@
         members: List<Member>,
     ) {
         val keys = keysOf(index)
-        val served = keys.associateWith { endpointsOf(index, it) }
-        forgetAllBut(served.values.flatten().associateBy { it.id })
-        served.forEach { (key, endpoints) -> learn(key, endpoints, members) }
-        rampReturned(index)
-        pools = served.mapValues { (_, endpoints) -> poolOf(endpoints) }
-        polled =
+        val endpointsByKey = keys.associateWith { endpointsOf(index, it) }
+        retainOnly(endpointsByKey.values.flatten().associateBy { it.id })
+        endpointsByKey.forEach { (key, endpoints) -> addEndpoints(key, endpoints, members) }
+        rampReturnedDomains(index)
+        pools = endpointsByKey.mapValues { (_, endpoints) -> poolOf(endpoints) }
+        endpointsInUse =
             pools.values
                 .flatMap { it.local + it.remote }
                 .map { it.endpoint }
                 .distinct()
-        builtFor = index
-        builtWith = members
+        lastIndex = index
+        lastMembers = members
     }
 
-    /** Ramps the endpoints of failure domains whose return this router hasn't seen yet. */
-    private fun rampReturned(index: CatalogueIndex) {
+    /** Starts the ramp-up of all endpoints in failure domains whose return to service is not handled yet. */
+    private fun rampReturnedDomains(index: CatalogueIndex) {
         known.values.forEach { endpoint ->
             val domain = index.failureDomain(endpoint.state.endpoint.failureDomain) ?: return@forEach
             if (domain.returnedAt == 0L ||
-                returns.put(domain.id, domain.returnedAt) == domain.returnedAt
+                handledReturns.put(domain.id, domain.returnedAt) == domain.returnedAt
             ) {
                 return@forEach
             }
             val sinceReturn = maxOf(0, epochMillis() - domain.returnedAt).milliseconds
-            val at = clock.nanos() - sinceReturn.inWholeNanoseconds
+            val returnedAt = clock.nanos() - sinceReturn.inWholeNanoseconds
             known.values
                 .filter { it.state.endpoint.failureDomain == domain.id }
-                .forEach { it.limiter.recordDomainReturned(at) }
+                .forEach { it.limiter.recordDomainReturned(returnedAt) }
         }
     }
 
@@ -263,43 +272,43 @@
             is PoolKey.Service -> index.endpoints(key.id)
         }
 
-    private fun forgetAllBut(kept: Map<EndpointId, Endpoint>) {
-        val gone = known.filter { (id, held) -> kept[id] != held.state.endpoint }
-        gone.values.forEach { it.state.health.retire() }
-        known -= gone.keys
+    private fun retainOnly(retained: Map<EndpointId, Endpoint>) {
+        val removed = known.filter { (id, endpoint) -> retained[id] != endpoint.state.endpoint }
+        removed.values.forEach { it.state.health.retire() }
+        known -= removed.keys
     }
 
-    private fun learn(
+    private fun addEndpoints(
         key: PoolKey,
         endpoints: List<Endpoint>,
         members: List<Member>,
     ) {
         val group = groups.getOrPut(key) { EjectionGroup() }
         subset.sharers(endpoints, members).forEach { (endpoint, sharers) ->
-            known.getOrPut(endpoint.id) { newlyKnown(endpoint, group) }.sharers = sharers
+            known.getOrPut(endpoint.id) { newEndpoint(endpoint, group) }.sharers = sharers
         }
     }
 
-    private fun newlyKnown(
+    private fun newEndpoint(
         endpoint: Endpoint,
         group: EjectionGroup,
-    ): Known {
+    ): KnownEndpoint {
         val state = EndpointState(endpoint, group)
-        return Known(state, EndpointLimiter(state, fleet.self.id, ramp), emptyList())
+        return KnownEndpoint(state, EndpointLimiter(state, fleet.self.id, ramp), emptyList())
     }
 
     private fun poolOf(endpoints: List<Endpoint>): EndpointPool {
-        val (own, others) = endpoints.partition { it.failureDomain == fleet.self.failureDomain }
+        val (local, remote) = endpoints.partition { it.failureDomain == fleet.self.failureDomain }
         return EndpointPool(
-            local = statesOf(subset.local(fleet.self.id, own)),
-            remote = statesOf(subset.remote(fleet.self.id, others)),
+            local = statesOf(subset.local(fleet.self.id, local)),
+            remote = statesOf(subset.remote(fleet.self.id, remote)),
         )
     }
 
     private fun statesOf(endpoints: List<Endpoint>): List<EndpointState> = endpoints.map { known.getValue(it.id).state }
 
     private companion object {
-        const val RING_CAPACITY = 16_384
-        val TICK = 50.milliseconds
+        const val MAILBOX_CAPACITY = 16_384
+        val TICK_INTERVAL = 50.milliseconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/LoadReportPoller.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/LoadReportPoller.kt
@@ -14,8 +14,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Polls `GET /engine/status` of the endpoints that this router uses, on a duty thread of its own. A full
- * ring loses a wish to poll early; the endpoint is then polled in its turn.
+ * Polls `GET /engine/status` of the endpoints that this router uses, on its own actor thread. If the mailbox is full, a
+ * request to poll an endpoint at once is dropped; the endpoint is then polled in its regular turn.
  */
 public class LoadReportPoller(
     private val directory: EndpointDirectory,
@@ -24,7 +24,7 @@
     interval: Duration,
 ) : AutoCloseable {
     @Serializable
-    private data class Status(
+    private data class EngineStatus(
         val startId: JsonPrimitive,
         val running: Int,
         val waiting: Int = 0,
@@ -32,58 +32,61 @@
         val uptimeMillis: Long? = null,
     )
 
-    private var position = 0
-    private val duty = ActorThread.start<() -> Unit>("load-reports", RING_CAPACITY, interval, ::pollNext) { it() }
+    private var nextIndex = 0
+    private val actor =
+        ActorThread.start<() -> Unit>("load-reports", MAILBOX_CAPACITY, interval, ::pollNextEndpoints) {
+            it()
+        }
 
-    /** Polls the endpoints at [address] at once instead of in their turn. */
+    /** Polls the endpoints at [address] at once, outside their regular turn. */
     public fun pollNow(address: String) {
-        duty.offer { directory.polledEndpoints.filter { it.address == address }.forEach(::poll) }
+        actor.offer { directory.polledEndpoints.filter { it.address == address }.forEach(::poll) }
     }
 
-    override fun close(): Unit = duty.close()
+    override fun close(): Unit = actor.close()
 
-    /** Polls the next [POLLED_AT_ONCE] endpoints, so that a large deployment costs no more than a small one. */
-    private fun pollNext() {
-        val used = directory.polledEndpoints
-        if (used.size <= POLLED_AT_ONCE) return used.forEach(::poll)
-        repeat(POLLED_AT_ONCE) {
-            position = (position + 1) % used.size
-            poll(used[position])
+    /** Polls the next [ENDPOINTS_PER_TICK] endpoints, so that the cost per tick does not grow with the deployment. */
+    private fun pollNextEndpoints() {
+        val endpoints = directory.polledEndpoints
+        if (endpoints.size <= ENDPOINTS_PER_TICK) return endpoints.forEach(::poll)
+        repeat(ENDPOINTS_PER_TICK) {
+            nextIndex = (nextIndex + 1) % endpoints.size
+            poll(endpoints[nextIndex])
         }
     }
 
     private fun poll(endpoint: Endpoint) {
-        val askedAt = clock.nanos()
+        val requestedAt = clock.nanos()
         clients
             .of(endpoint)
             .get(STATUS_PATH)
             .aggregate()
-            .thenAccept { read(endpoint, it, askedAt) }
+            .thenAccept { handleResponse(endpoint, it, requestedAt) }
     }
 
-    private fun read(
+    private fun handleResponse(
         endpoint: Endpoint,
         response: AggregatedHttpResponse,
-        askedAt: Long,
+        requestedAt: Long,
     ) {
-        val status = if (response.status() == HttpStatus.OK) parse(response.contentUtf8()) else null
+        val status = if (response.status() == HttpStatus.OK) parseOrNull(response.contentUtf8()) else null
         if (status == null) return directory.recordMissingLoadReport(endpoint.id)
         val uptime = status.uptimeMillis?.milliseconds
         val report = LoadReport(status.startId.content, status.running, status.waiting, status.slots, uptime)
-        directory.report(endpoint.id, report, askedAt)
+        directory.report(endpoint.id, report, requestedAt)
     }
 
-    private fun parse(text: String): Status? =
+    private fun parseOrNull(text: String): EngineStatus? =
         try {
-            LENIENT.decodeFromString(Status.serializer(), text)
+            LENIENT_JSON.decodeFromString(EngineStatus.serializer(), text)
         } catch (_: SerializationException) {
             null
         }
 
     private companion object {
-        const val RING_CAPACITY = 256
-        const val POLLED_AT_ONCE = 24
+        const val MAILBOX_CAPACITY = 256
+        const val ENDPOINTS_PER_TICK = 24
         const val STATUS_PATH = "/engine/status"
-        val LENIENT = Json { ignoreUnknownKeys = true }
+        val LENIENT_JSON = Json { ignoreUnknownKeys = true }
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/SameEventLoopScheduler.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/SameEventLoopScheduler.kt
@@ -9,8 +9,8 @@
 import io.netty.channel.EventLoopGroup
 
 /**
- * Runs a call to an endpoint on the event loop that serves its caller, so that no request changes threads. Each loop
- * then has connections of its own to the endpoints it uses. Calls from other threads take the loops in turn.
+ * Runs a call to an endpoint on the event loop that serves its caller, so that no request switches threads. Each event
+ * loop therefore has its own connections to endpoints. Calls from other threads are assigned to event loops in turn.
  */
 internal class SameEventLoopScheduler(
     private val workers: EventLoopGroup,
@@ -21,9 +21,10 @@
         sessionProtocol: SessionProtocol,
         endpointGroup: EndpointGroup,
         endpoint: Endpoint?,
-    ): ReleasableHolder<EventLoop> = HeldLoop(loops.firstOrNull { it.inEventLoop() } ?: workers.next() as EventLoop)
+    ): ReleasableHolder<EventLoop> =
+        UnpooledEventLoop(loops.firstOrNull { it.inEventLoop() } ?: workers.next() as EventLoop)
 
-    private class HeldLoop(
+    private class UnpooledEventLoop(
         private val loop: EventLoop,
     ) : ReleasableHolder<EventLoop> {
         override fun get(): EventLoop = loop
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/ServerSentEventDecoder.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/ServerSentEventDecoder.kt
@@ -10,7 +10,7 @@
 /**
  * One server-sent event.
  *
- * @property id the `id` field, or null.
+ * @property id the `id` field; null if the event has none.
  * @property data the `data` lines joined by line feeds.
  */
 public data class ServerSentEvent(
@@ -19,8 +19,8 @@
 )
 
 /**
- * Splits a stream of bytes into server-sent events (WHATWG HTML, section 9.2). Comments and fields other than `id` and
- * `data` are passed over. An event without its closing empty line is dropped, as the standard says.
+ * Decodes a byte stream into server-sent events (WHATWG HTML, section 9.2). Ignores comments and all fields except `id`
+ * and `data`. Drops an event that lacks its terminating empty line, as the standard requires.
  */
 public class ServerSentEventDecoder : StreamDecoder<HttpData, ServerSentEvent> {
     private val line = ByteArrayOutputStream()
@@ -43,19 +43,19 @@
     private fun endLine(output: StreamDecoderOutput<ServerSentEvent>) {
         val text = line.toString(Charsets.UTF_8).removeSuffix("\r")
         line.reset()
-        if (text.isEmpty()) endEvent(output) else takeField(text)
+        if (text.isEmpty()) endEvent(output) else addField(text)
     }
 
-    private fun takeField(text: String) {
+    private fun addField(text: String) {
         val name = text.substringBefore(':')
         val value = text.substringAfter(':', "").removePrefix(" ")
         when (name) {
             "id" -> id = value
-            "data" -> takeData(value)
+            "data" -> addData(value)
         }
     }
 
-    private fun takeData(value: String) {
+    private fun addData(value: String) {
         if (hasData) data.append('\n')
         data.append(value)
         hasData = true
