--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ActorThread.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ActorThread.kt
@@ -11,12 +11,13 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * A thread that does one duty: it takes messages from its own bounded ring in order, and between them calls a tick.
- * Any thread may offer; nothing but the duty thread touches the duty's state, so the state needs no locks.
+ * The thread of an actor: it handles messages from its bounded mailbox in order and, between messages, calls a tick
+ * handler at a regular interval. Any thread may send messages; only the actor thread accesses the actor's state, so
+ * that state needs no locks.
  *
  * ```
- * val duty = ActorThread.start("billing", capacity = 4096, onMessage = batch::add, onTick = batch::flush)
- * if (!duty.offer(record)) rejected.increment()
+ * val actor = ActorThread.start("billing", capacity = 4096, onMessage = batch::add, onTick = batch::flush)
+ * if (!actor.offer(record)) rejected.increment()
  * ```
  */
 public class ActorThread<M : Any> private constructor(
@@ -26,22 +27,22 @@
     private val onMessage: (M) -> Unit,
     private val onTick: () -> Unit,
 ) : AutoCloseable {
-    private val ring = MpscArrayQueue<M>(capacity)
+    private val mailbox = MpscArrayQueue<M>(capacity)
     private val rejections = AtomicLong()
     private val thread = Thread(::run, "duty-$name").apply { isDaemon = true }
 
     @Volatile
     private var stopping = false
 
-    /** Messages that found the ring full. */
+    /** The number of messages rejected because the mailbox was full. */
     public val rejected: Long get() = rejections.get()
 
-    /** Messages waiting in the ring. */
-    public val waiting: Int get() = ring.size
+    /** The number of messages waiting in the mailbox. */
+    public val waiting: Int get() = mailbox.size
 
-    /** Puts [message] on the ring; false when the ring is full, and the message is then not taken. */
+    /** Adds [message] to the mailbox; returns false, and drops the message, if the mailbox is full. */
     public fun offer(message: M): Boolean {
-        if (!ring.offer(message)) {
+        if (!mailbox.offer(message)) {
             rejections.incrementAndGet()
             return false
         }
@@ -49,11 +50,11 @@
         return true
     }
 
-    /** Handles the messages already on the ring, then ends the thread; waits for that at most [patience]. */
-    public fun stop(patience: Duration = DEFAULT_PATIENCE) {
+    /** Handles the messages already in the mailbox, then ends the thread; waits at most [timeout] for that. */
+    public fun stop(timeout: Duration = DEFAULT_STOP_TIMEOUT) {
         stopping = true
         LockSupport.unpark(thread)
-        if (Thread.currentThread() !== thread) thread.join(patience.inWholeMilliseconds)
+        if (Thread.currentThread() !== thread) thread.join(timeout.inWholeMilliseconds)
     }
 
     override fun close(): Unit = stop()
@@ -61,28 +62,28 @@
     private fun run() {
         var nextTick = System.nanoTime()
         while (true) {
-            val drained = drain()
-            if (stopping && !drained) return
+            val handledAny = handleBatch()
+            if (stopping && !handledAny) return
             if (System.nanoTime() - nextTick >= 0) {
-                guarded { onTick() }
+                logFailures { onTick() }
                 nextTick = System.nanoTime() + tickInterval.inWholeNanoseconds
-            } else if (!drained) {
+            } else if (!handledAny) {
                 LockSupport.parkNanos(this, nextTick - System.nanoTime())
             }
         }
     }
 
-    private fun drain(): Boolean {
+    private fun handleBatch(): Boolean {
         var handled = 0
-        while (handled < BURST) {
-            val message = ring.poll() ?: break
-            guarded { onMessage(message) }
+        while (handled < MAX_BATCH_SIZE) {
+            val message = mailbox.poll() ?: break
+            logFailures { onMessage(message) }
             handled++
         }
         return handled > 0
     }
 
-    private inline fun guarded(action: () -> Unit) {
+    private inline fun logFailures(action: () -> Unit) {
         try {
             action()
         } catch (exception: Exception) {
@@ -91,15 +92,16 @@
     }
 
     public companion object {
-        private const val BURST = 256
-        private val DEFAULT_PATIENCE = 2_000.milliseconds
-        private val DEFAULT_TICK = 100.milliseconds
+        /** Messages handled between two checks of the tick. */
+        private const val MAX_BATCH_SIZE = 256
+        private val DEFAULT_STOP_TIMEOUT = 2_000.milliseconds
+        private val DEFAULT_TICK_INTERVAL = 100.milliseconds
 
-        /** Starts a duty thread. [capacity] is rounded up to a power of two. */
+        /** Starts an actor thread. The mailbox [capacity] is rounded up to a power of two. */
         public fun <M : Any> start(
             name: String,
             capacity: Int,
-            tickInterval: Duration = DEFAULT_TICK,
+            tickInterval: Duration = DEFAULT_TICK_INTERVAL,
             onTick: () -> Unit = {},
             onMessage: (M) -> Unit,
         ): ActorThread<M> {
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/CatalogueHolder.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/CatalogueHolder.kt
@@ -13,56 +13,56 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * The catalogue in force on this router. Its generation only rises, whoever offers what; of two catalogues with one
- * generation the first one taken stays.
+ * Holds the catalogue in force on this router. Its generation never decreases, whatever the order of offers from
+ * different sources; of two catalogues with the same generation, the one accepted first stays in force.
  */
 public class CatalogueHolder : ConfigurationHolder {
-    private val current = AtomicReference(Held(CatalogueIndex.EMPTY, null))
+    private val current = AtomicReference(Entry(CatalogueIndex.EMPTY, null))
 
-    private class Held(
+    private class Entry(
         val index: CatalogueIndex,
         val since: Long?,
     ) {
         val digest: String by lazy { digestOf(index.catalogue) }
     }
 
-    /** The newest catalogue held. */
+    /** Index of the catalogue in force. */
     public val index: CatalogueIndex get() = current.get().index
 
     override val catalogue: Catalogue get() = index.catalogue
 
-    /** Whether any configuration is held. */
+    /** Whether any catalogue has been accepted yet. */
     public val configured: Boolean get() = index !== CatalogueIndex.EMPTY
 
-    /** Epoch milliseconds at which the catalogue came in force here; null before the first one. */
+    /** Epoch milliseconds at which the catalogue came into force on this router; null before the first one. */
     public val inForceSince: Long? get() = current.get().since
 
-    /** Digest of the catalogue, by which an operator tells whether routers hold the same one. */
+    /** Digest of the catalogue; operators compare it to see whether routers hold the same one. */
     public val digest: String get() = current.get().digest
 
     override fun offer(catalogue: Catalogue): Boolean {
         if (catalogue.generation <= index.generation) {
-            checkDivergence(catalogue)
+            logDivergence(catalogue)
             return false
         }
-        val candidate = Held(CatalogueIndex.of(catalogue), System.currentTimeMillis())
+        val candidate = Entry(CatalogueIndex.of(catalogue), System.currentTimeMillis())
         val previous = current.getAndUpdate { if (it.index.generation < catalogue.generation) candidate else it }
-        val taken = previous.index.generation < catalogue.generation
-        if (taken) {
+        val accepted = previous.index.generation < catalogue.generation
+        if (accepted) {
             LogEvent.CONFIGURATION_IN_FORCE.log(logger) {
                 "generation=${catalogue.generation} previous=${previous.index.generation}"
             }
         }
-        return taken
+        return accepted
     }
 
-    /** Whether [catalogue] is another one than that in force, though its generation is the same. */
+    /** Whether [catalogue] has the same generation as the one in force but different content. */
     public fun diverges(catalogue: Catalogue): Boolean {
         val held = index.catalogue
         return catalogue.generation == held.generation && catalogue != held
     }
 
-    private fun checkDivergence(catalogue: Catalogue) {
+    private fun logDivergence(catalogue: Catalogue) {
         if (!diverges(catalogue)) return
         LogEvent.CONFIGURATION_DIVERGENT.log(logger) {
             "generation=${catalogue.generation} held=$digest offered=${digestOf(catalogue)}"
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
@@ -25,10 +25,10 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * One step of a request that has ended.
+ * The outcome of a request's run on one version.
  *
- * @property delivered whether the caller gets the answer, so that a rating of it may follow.
- * @property escalated whether another version was tried before.
+ * @property delivered whether the caller receives the answer, so that a rating of it may follow.
+ * @property escalated whether a cascade ran another version first.
  */
 internal data class StepObservation(
     val requestId: RequestId,
@@ -40,7 +40,7 @@
     val escalated: Boolean = false,
 )
 
-/** A reading of another router's evidence. */
+/** A tally that routers exchange: the newest known value of one evidence cell. */
 internal data class EvidenceUpdate(
     val cell: EvidenceCell,
     val tally: Tally,
@@ -55,18 +55,18 @@
         val ratings: List<Rating>,
     ) : ChoiceMessage
 
-    class EvidenceTold(
-        val readings: List<EvidenceUpdate>,
+    class EvidenceReceived(
+        val updates: List<EvidenceUpdate>,
     ) : ChoiceMessage
 
-    class QuarantinesTold(
+    class QuarantinesReceived(
         val quarantines: QuarantineSet,
     ) : ChoiceMessage
 }
 
 /**
- * Owns what this router knows of versions: takes in observations, ratings and other routers' evidence, tests versions,
- * and publishes a [ChoiceSnapshot] for requests.
+ * Maintains this router's evidence about model versions on an actor thread: collects observations, ratings and the
+ * evidence of other routers, tests versions for regressions, and publishes a [ChoiceSnapshot] that requests read.
  */
 internal class ChoiceController(
     self: RouterId,
@@ -77,68 +77,68 @@
     private val routerId = self
     private val pool = EvidencePool(self)
     private val windows = RecentWindows(pool)
-    private val pending = PendingRatings(MAXIMUM_PENDING_RATINGS)
-    private val toTell = ArrayBlockingQueue<EvidenceUpdate>(MAXIMUM_TO_TELL)
-    private var distrusted = emptySet<Long>()
-    private var lastEvaluation = 0L
-    private var lastDistrustCheck = 0L
+    private val pending = PendingRatings(MAX_PENDING_RATINGS)
+    private val outgoingUpdates = ArrayBlockingQueue<EvidenceUpdate>(MAX_OUTGOING_UPDATES)
+    private var distrustedBuckets = emptySet<Long>()
+    private var lastEvaluationMillis = 0L
+    private var lastDistrustCheckMillis = 0L
 
     @Volatile
-    private var duty: ActorThread<ChoiceMessage>? = null
+    private var actor: ActorThread<ChoiceMessage>? = null
 
-    /** What requests read. */
+    /** The snapshot that requests read. */
     @Volatile
     var snapshot: ChoiceSnapshot = ChoiceSnapshot.EMPTY
         private set
 
     fun start() {
-        duty = ActorThread.start("choice", RING, TICK, onTick = ::tick, onMessage = ::take)
+        actor = ActorThread.start("choice", MAILBOX_CAPACITY, TICK_INTERVAL, onTick = ::tick, onMessage = ::handle)
     }
 
     override fun close() {
-        duty?.stop()
+        actor?.stop()
     }
 
-    /** Notes an ended step. A full ring drops it: evidence is a sample anyway. */
+    /** Records an ended step. A full mailbox drops it; this is acceptable because the evidence is a sample anyway. */
     fun observe(observation: StepObservation) {
-        duty?.offer(ChoiceMessage.Observed(observation))
+        actor?.offer(ChoiceMessage.Observed(observation))
     }
 
-    /** Notes ratings, in any order and any number of times; only those of this router's own answers count. */
+    /** Records ratings, in any order and possibly repeated; only ratings of this router's own answers count. */
     fun rate(ratings: List<Rating>) {
-        duty?.offer(ChoiceMessage.Rated(ratings))
+        actor?.offer(ChoiceMessage.Rated(ratings))
     }
 
-    /** Takes in other routers' evidence. */
-    fun merge(readings: List<EvidenceUpdate>) {
-        duty?.offer(ChoiceMessage.EvidenceTold(readings))
+    /** Merges evidence of other routers. */
+    fun merge(updates: List<EvidenceUpdate>) {
+        actor?.offer(ChoiceMessage.EvidenceReceived(updates))
     }
 
-    /** Takes in quarantines that other routers know of. */
+    /** Merges quarantines that other routers know of. */
     fun merge(quarantines: QuarantineSet) {
         if (snapshot.quarantines.merge(quarantines) != snapshot.quarantines) {
-            duty?.offer(ChoiceMessage.QuarantinesTold(quarantines))
+            actor?.offer(ChoiceMessage.QuarantinesReceived(quarantines))
         }
     }
 
-    /** The next reading to tell a peer, or null when nothing has changed. */
-    fun nextEvidenceUpdate(): EvidenceUpdate? = toTell.poll()
+    /** The next evidence update to gossip, or null if there is none. */
+    fun nextEvidenceUpdate(): EvidenceUpdate? = outgoingUpdates.poll()
 
-    /** What operators are told. */
+    /** The state of roll-outs, as reported to operators. */
     fun report(): RollOutReport {
-        val known = snapshot
-        return RollOutReport.of(holder.index.catalogue, known.quarantines, known.ratingsDistrusted, clock.millis())
+        val current = snapshot
+        return RollOutReport.of(holder.index.catalogue, current.quarantines, current.ratingsDistrusted, clock.millis())
     }
 
-    private fun take(message: ChoiceMessage): Unit =
+    private fun handle(message: ChoiceMessage): Unit =
         when (message) {
-            is ChoiceMessage.Observed -> take(message.observation)
-            is ChoiceMessage.Rated -> message.ratings.forEach { take(it) }
-            is ChoiceMessage.EvidenceTold -> message.readings.forEach { pool.merge(it.cell, it.tally) }
-            is ChoiceMessage.QuarantinesTold -> adopt(snapshot.quarantines.merge(message.quarantines))
+            is ChoiceMessage.Observed -> recordObservation(message.observation)
+            is ChoiceMessage.Rated -> message.ratings.forEach { recordRating(it) }
+            is ChoiceMessage.EvidenceReceived -> message.updates.forEach { pool.merge(it.cell, it.tally) }
+            is ChoiceMessage.QuarantinesReceived -> adoptQuarantines(snapshot.quarantines.merge(message.quarantines))
         }
 
-    private fun take(observation: StepObservation) {
+    private fun recordObservation(observation: StepObservation) {
         pool.record(observation.subject, clock.millis()) {
             it.plusRequest(observation.failed, observation.millisecondsPerToken, observation.confidence)
         }
@@ -150,7 +150,7 @@
         }
     }
 
-    private fun take(rating: Rating) {
+    private fun recordRating(rating: Rating) {
         if (rating.rating.isNaN() || rating.rating !in 0.0..1.0) return
         val answer = pending.take(rating.requestId) ?: return
         pool.record(answer.subject, clock.millis()) { tally ->
@@ -167,65 +167,66 @@
     private fun tick() {
         val now = clock.millis()
         pool.advance(now)
-        refillToTell()
-        if (now - lastEvaluation < EVALUATION_MILLIS) return
-        lastEvaluation = now
+        refillOutgoingUpdates()
+        if (now - lastEvaluationMillis < EVALUATION_INTERVAL_MILLIS) return
+        lastEvaluationMillis = now
         evaluate(now)
     }
 
     private fun evaluate(now: Long) {
         val index = holder.index
-        if (now - lastDistrustCheck >= DISTRUST_CHECK_MILLIS) {
-            lastDistrustCheck = now
-            noteDistrust(RatingTrust.distrustedBuckets(pool.totals))
+        if (now - lastDistrustCheckMillis >= DISTRUST_CHECK_INTERVAL_MILLIS) {
+            lastDistrustCheckMillis = now
+            updateDistrustedBuckets(RatingTrust.distrustedBuckets(pool.totals))
         }
-        val held = snapshot.quarantines.current { index.version(it)?.definedIn }
+        val currentQuarantines = snapshot.quarantines.current { index.version(it)?.definedIn }
         windows.advance(now)
         val policy = QuarantinePolicy(routerId, limits())
-        val found = policy.decide(index.catalogue, held, pool.totals, windows.windows(), now)
-        found.forEach { announce(it) }
-        val quarantines = found.fold(held) { set, quarantine -> set.plus(quarantine) }
-        snapshot = ChoiceSnapshot.of(index, pool.totals, quarantines, distrusted, now)
+        val newQuarantines = policy.decide(index.catalogue, currentQuarantines, pool.totals, windows.windows(), now)
+        newQuarantines.forEach { logQuarantine(it) }
+        val quarantines = newQuarantines.fold(currentQuarantines) { set, quarantine -> set.plus(quarantine) }
+        snapshot = ChoiceSnapshot.of(index, pool.totals, quarantines, distrustedBuckets, now)
     }
 
-    private fun adopt(quarantines: QuarantineSet) {
-        val news = quarantines.all - snapshot.quarantines.all.toSet()
-        news.forEach { announce(it) }
-        snapshot = ChoiceSnapshot.of(holder.index, pool.totals, quarantines, distrusted, clock.millis())
+    private fun adoptQuarantines(quarantines: QuarantineSet) {
+        val newQuarantines = quarantines.all - snapshot.quarantines.all.toSet()
+        newQuarantines.forEach { logQuarantine(it) }
+        snapshot = ChoiceSnapshot.of(holder.index, pool.totals, quarantines, distrustedBuckets, clock.millis())
     }
 
-    private fun announce(quarantine: Quarantine): Unit =
+    private fun logQuarantine(quarantine: Quarantine): Unit =
         LogEvent.VERSION_QUARANTINED.log(logger) {
             "version=${quarantine.version} definedIn=${quarantine.definedIn} by=${quarantine.by} " +
                 "evidence=${quarantine.evidence}"
         }
 
-    private fun noteDistrust(buckets: Set<Long>) {
-        if ((buckets - distrusted).isNotEmpty()) {
-            LogEvent.RATINGS_DISTRUSTED.log(logger) { "buckets=${buckets - distrusted}" }
+    private fun updateDistrustedBuckets(buckets: Set<Long>) {
+        if ((buckets - distrustedBuckets).isNotEmpty()) {
+            LogEvent.RATINGS_DISTRUSTED.log(logger) { "buckets=${buckets - distrustedBuckets}" }
         }
-        distrusted = buckets
+        distrustedBuckets = buckets
     }
 
-    private fun refillToTell() {
-        val missing = toTell.remainingCapacity()
-        if (missing < MAXIMUM_TO_TELL / 2) return
-        val rolledOut =
+    /** Refills the queue of updates to gossip, those about versions in a roll-out first. */
+    private fun refillOutgoingUpdates() {
+        val freeCapacity = outgoingUpdates.remainingCapacity()
+        if (freeCapacity < MAX_OUTGOING_UPDATES / 2) return
+        val versionsInRollOut =
             holder.index.catalogue.models
                 .filter { it.rollOut != null }
                 .flatMap { listOf(it.version, it.rollOut!!.predecessor).map { version -> it.model to version } }
                 .toSet()
         pool
-            .nextToTell(missing) { (it.version.model to it.version.version) in rolledOut }
-            .forEach { (cell, tally) -> toTell.offer(EvidenceUpdate(cell, tally)) }
+            .nextToTell(freeCapacity) { (it.version.model to it.version.version) in versionsInRollOut }
+            .forEach { (cell, tally) -> outgoingUpdates.offer(EvidenceUpdate(cell, tally)) }
     }
 
     private companion object {
-        const val RING = 8_192
-        const val MAXIMUM_TO_TELL = 128
-        const val MAXIMUM_PENDING_RATINGS = 50_000
-        const val EVALUATION_MILLIS = 1_000L
-        const val DISTRUST_CHECK_MILLIS = 5_000L
-        val TICK = 250.milliseconds
+        const val MAILBOX_CAPACITY = 8_192
+        const val MAX_OUTGOING_UPDATES = 128
+        const val MAX_PENDING_RATINGS = 50_000
+        const val EVALUATION_INTERVAL_MILLIS = 1_000L
+        const val DISTRUST_CHECK_INTERVAL_MILLIS = 5_000L
+        val TICK_INTERVAL = 250.milliseconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceSnapshot.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceSnapshot.kt
@@ -11,11 +11,11 @@
 import dev.almondhaven.model.TaskClass
 
 /**
- * What requests read about versions; immutable.
+ * An immutable snapshot of the evidence about versions, read by the model choice.
  *
- * @property quarantines versions that get no new sessions.
+ * @property quarantines versions that receive no new sessions.
  * @property taskClasses classes that a caller may declare.
- * @property ratingsDistrusted whether ratings are being left out at this moment.
+ * @property ratingsDistrusted whether recent ratings are excluded from the estimates.
  */
 internal class ChoiceSnapshot(
     val quarantines: QuarantineSet,
@@ -23,7 +23,7 @@
     private val estimates: Map<EvidenceSubject, VersionEstimate>,
     val ratingsDistrusted: Boolean = false,
 ) {
-    /** The estimate for [version] in [taskClass]; the prior alone when its definition is newer than the snapshot. */
+    /** The estimate for [version] in [taskClass]; only its prior if its definition is newer than the snapshot. */
     fun estimate(
         version: ModelVersion,
         taskClass: TaskClass,
@@ -35,10 +35,10 @@
         private val DEFAULT_CLASSES =
             setOf(TaskClassifier.DRAFTING, TaskClassifier.QUERY, TaskClassifier.TAGGING)
 
-        /** Nothing is known. */
+        /** A snapshot without any evidence. */
         val EMPTY: ChoiceSnapshot = ChoiceSnapshot(QuarantineSet.EMPTY, DEFAULT_CLASSES, emptyMap())
 
-        /** The snapshot of [evidence], without the ratings of [distrustedBuckets]. */
+        /** Builds the snapshot of [evidence], excluding the time buckets in [distrustedBuckets]. */
         fun of(
             index: CatalogueIndex,
             evidence: EvidenceTotals,
@@ -56,10 +56,15 @@
                     estimates[subject] = VersionEstimate.of(version, taskClass, trusted, epochMillis)
                 }
             }
-            return ChoiceSnapshot(quarantines, classes, estimates, distrustsNow(distrustedBuckets, epochMillis))
+            return ChoiceSnapshot(
+                quarantines,
+                classes,
+                estimates,
+                distrustsRecentRatings(distrustedBuckets, epochMillis),
+            )
         }
 
-        private fun distrustsNow(
+        private fun distrustsRecentRatings(
             buckets: Set<Long>,
             epochMillis: Long,
         ): Boolean = buckets.any { it > EvidencePool.bucketOf(epochMillis) - EvidencePool.OPEN_BUCKETS }
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ConfigurationWatcher.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ConfigurationWatcher.kt
@@ -22,9 +22,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-/**
- * Keeps a [CatalogueHolder] up to date from the platform, with the calls that a [WatchSchedule] asks for.
- */
+/** Keeps a [CatalogueHolder] up to date from the platform, with the reads and watches that a [WatchSchedule] plans. */
 public class ConfigurationWatcher(
     private val objects: ObjectStore,
     private val holder: CatalogueHolder,
@@ -36,27 +34,28 @@
     plan: WatchPlan = WatchPlan(),
 ) : AutoCloseable {
     private val schedule = WatchSchedule(plan, random, clock.nanos())
-    private var watchFrom = Revision(0)
+    private var watchRevision = Revision(0)
     private var headGeneration: Generation? = null
 
-    /** Whether the platform answered the last call. */
+    /** Whether the last call to the platform succeeded. */
     @Volatile
     public var platformReachable: Boolean = true
         private set
 
     @Volatile
-    private var duty: ActorThread<Unit>? = null
+    private var actor: ActorThread<Unit>? = null
 
-    /** Starts the watching thread. */
+    /** Starts the thread that watches the configuration. */
     public fun start() {
-        duty = ActorThread.start("configuration-watch", RING, TICK, onTick = ::refresh) { refresh() }
+        actor =
+            ActorThread.start("configuration-watch", MAILBOX_CAPACITY, TICK_INTERVAL, onTick = ::refresh) { refresh() }
     }
 
     override fun close() {
-        duty?.stop(1.milliseconds)
+        actor?.stop(1.milliseconds)
     }
 
-    /** Makes the calls that are due; blocks for as long as a watch waits. */
+    /** Makes the call that is due, if any; blocks while a watch waits for a change. */
     internal fun refresh() {
         val outcome =
             when (schedule.next(clock.nanos(), view)) {
@@ -64,54 +63,54 @@
                 WatchCall.READ -> readHead()
                 WatchCall.WATCH -> watchOnce()
             }
-        outcome.fold(::failed) { succeeded() }
+        outcome.fold(::handleFailure) { handleSuccess() }
     }
 
-    private fun succeeded() {
+    private fun handleSuccess() {
         platformReachable = true
         val now = clock.nanos()
         schedule.succeeded(now, view.members.size, freshness.staleSince(now, holder.generation) != null)
     }
 
-    private fun failed(error: PlatformError) {
+    private fun handleFailure(error: PlatformError) {
         platformReachable = false
         schedule.failed(clock.nanos())
         LogEvent.PLATFORM_READ_FAILED.log(logger) { "error=$error" }
     }
 
     private fun readHead(): Either<PlatformError, Unit> {
-        val askedAt = clock.nanos()
+        val requestedAt = clock.nanos()
         return objects.list(ConfigurationStore.HEAD_KEY.value, limit = 1).map { page ->
-            take(page.objects.firstOrNull()?.value, askedAt)
-            watchFrom = page.revision
+            offerConfiguration(page.objects.firstOrNull()?.value, requestedAt)
+            watchRevision = page.revision
         }
     }
 
     private fun watchOnce(): Either<PlatformError, Unit> {
-        val askedAt = clock.nanos()
-        return objects.watch(ConfigurationStore.HEAD_KEY.value, watchFrom, watchWait).flatMap { result ->
+        val requestedAt = clock.nanos()
+        return objects.watch(ConfigurationStore.HEAD_KEY.value, watchRevision, watchWait).flatMap { result ->
             if (result.changes.isNotEmpty()) return readHead()
-            watchFrom = result.revision
-            headGeneration?.let { freshness.confirmed(it, askedAt) }
+            watchRevision = result.revision
+            headGeneration?.let { freshness.confirmed(it, requestedAt) }
             Unit.right()
         }
     }
 
-    private fun take(
+    private fun offerConfiguration(
         value: String?,
-        askedAt: Long,
+        requestedAt: Long,
     ) {
         val catalogue = value?.let { ConfigurationStore.decode(it).catalogue } ?: return
         holder.offer(catalogue)
         headGeneration = catalogue.generation.takeUnless { holder.diverges(catalogue) }
-        headGeneration?.let { freshness.confirmed(it, askedAt) }
+        headGeneration?.let { freshness.confirmed(it, requestedAt) }
         if (catalogue.generation < holder.generation) {
             LogEvent.CONFIGURATION_STALE_READ.log(logger) { "read=${catalogue.generation} held=${holder.generation}" }
         }
     }
 
     private companion object {
-        const val RING = 2
-        val TICK = 100.milliseconds
+        const val MAILBOX_CAPACITY = 2
+        val TICK_INTERVAL = 100.milliseconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/GuardedObjectStores.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/GuardedObjectStores.kt
@@ -16,10 +16,15 @@
 import kotlin.random.Random
 import kotlin.time.DurationUnit
 
-/** Calls a shard's owner may make above its share while it owns the shard. */
-private const val BURST = 100.0
+/**
+ * Burst size of the call budgets: calls that the owner of a shard may make beyond its share while it owns the shard.
+ */
+private const val BURST_CALLS = 100.0
 
-/** Guards the calls of this router: its share of the platform's rate, a circuit breaker, retries and metrics. */
+/**
+ * Wraps [platform] for this router: limits calls to the router's share of the platform's rate, and adds a circuit
+ * breaker, retries and metrics.
+ */
 internal fun guardedObjectStore(
     platform: ObjectStore,
     settings: PlatformSettings,
@@ -28,29 +33,29 @@
     fleetSize: () -> Int,
 ): ObjectStore {
     val share = PlatformShare(clock, fleetSize = fleetSize)
-    val breaker = CircuitBreaker(clock, Random.Default)
+    val circuitBreaker = CircuitBreaker(clock, Random.Default)
     val guards =
         CallGuards(
-            reads = CallBudget(clock, BURST) { share.of(settings.readsPerSecond) },
-            writes = CallBudget(clock, BURST) { share.of(settings.writesPerSecond) },
-            breaker = breaker,
+            reads = CallBudget(clock, BURST_CALLS) { share.of(settings.readsPerSecond) },
+            writes = CallBudget(clock, BURST_CALLS) { share.of(settings.writesPerSecond) },
+            breaker = circuitBreaker,
             listener = platformCallMetrics(metrics.registry),
         )
     metrics.gauge("almondhaven_platform_circuit_open", "1 while calls of the platform are held back.") {
-        if (breaker.open) 1.0 else 0.0
+        if (circuitBreaker.open) 1.0 else 0.0
     }
     return GuardedObjectStore(platform, guards, clock, Random.Default)
 }
 
 private fun platformCallMetrics(registry: PrometheusRegistry): PlatformCallListener {
-    val calls =
+    val callCounter =
         Counter
             .builder()
             .name("almondhaven_platform_calls_total")
             .help("Calls of the object API by kind and result.")
             .labelNames("kind", "result")
             .register(registry)
-    val duration =
+    val durationHistogram =
         Histogram
             .builder()
             .name("almondhaven_platform_call_duration_seconds")
@@ -59,8 +64,8 @@
             .classicOnly()
             .classicUpperBounds(0.001, 0.005, 0.01, 0.05, 0.1, 0.5, 1.0, 2.0, 30.0)
             .register(registry)
-    return PlatformCallListener { kind, error, took ->
-        calls.labelValues(kind.name.lowercase(), error?.javaClass?.simpleName ?: "answered").inc()
-        duration.labelValues(kind.name.lowercase()).observe(took.toDouble(DurationUnit.SECONDS))
+    return PlatformCallListener { kind, error, duration ->
+        callCounter.labelValues(kind.name.lowercase(), error?.javaClass?.simpleName ?: "answered").inc()
+        durationHistogram.labelValues(kind.name.lowercase()).observe(duration.toDouble(DurationUnit.SECONDS))
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/PendingRatings.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/PendingRatings.kt
@@ -4,7 +4,7 @@
 import dev.almondhaven.decision.choice.EvidenceSubject
 import dev.almondhaven.model.RequestId
 
-/** An answer whose rating may still come. */
+/** What a rating of an answer is recorded under. */
 internal data class RatedAnswer(
     val subject: EvidenceSubject,
     val confidence: ConfidenceBand?,
@@ -12,8 +12,8 @@
 )
 
 /**
- * Answers that this router gave and that may be rated yet; bounded, the oldest go first. Taking an answer removes it, so
- * that its rating counts once however often it comes.
+ * Answers of this router that may still be rated. Beyond [capacity] the oldest are evicted. Taking an answer removes
+ * it, so that a rating delivered repeatedly counts only once.
  */
 internal class PendingRatings(
     private val capacity: Int,
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/RatingPoller.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/RatingPoller.kt
@@ -13,7 +13,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Polls the rating service on a thread of its own. A service that fails is asked again at the next interval. */
+/** Polls the rating service on its own thread. After a failure it tries again at the next interval. */
 internal class RatingPoller(
     address: String,
     private val interval: Duration,
@@ -22,7 +22,7 @@
     private val client =
         WebClient
             .builder(address)
-            .responseTimeoutMillis(TIMEOUT_MILLIS)
+            .responseTimeoutMillis(RESPONSE_TIMEOUT_MILLIS)
             .build()
             .blocking()
     private val json = Json { ignoreUnknownKeys = true }
@@ -30,27 +30,27 @@
     private var available = true
 
     @Volatile
-    private var duty: ActorThread<Unit>? = null
+    private var actor: ActorThread<Unit>? = null
 
     fun start() {
-        duty = ActorThread.start("ratings", RING, interval, onTick = ::poll) { poll() }
+        actor = ActorThread.start("ratings", MAILBOX_CAPACITY, interval, onTick = ::poll) { poll() }
     }
 
     override fun close() {
-        duty?.stop(STOP_PATIENCE)
+        actor?.stop(STOP_TIMEOUT)
     }
 
     private fun poll() {
-        repeat(MAXIMUM_PAGES) {
-            val page = read() ?: return
+        repeat(MAX_PAGES_PER_POLL) {
+            val page = readPageOrNull() ?: return
             if (page.ratings.isEmpty()) return
             cursor = page.next
             onRatings(page.ratings)
         }
     }
 
-    private fun read(): RatingPage? {
-        val page = runCatching { request() }
+    private fun readPageOrNull(): RatingPage? {
+        val page = runCatching { requestPage() }
         page.exceptionOrNull()?.let { cause ->
             if (available) LogEvent.RATINGS_UNAVAILABLE.log(logger) { "cause=$cause" }
         }
@@ -58,16 +58,16 @@
         return page.getOrNull()
     }
 
-    private fun request(): RatingPage {
+    private fun requestPage(): RatingPage {
         val response = client.get("/ratings?after=${URLEncoder.encode(cursor, Charsets.UTF_8)}")
-        check(response.status() == HttpStatus.OK) { "the rating service answered ${response.status()}" }
+        check(response.status() == HttpStatus.OK) { "the rating service returned status ${response.status()}" }
         return json.decodeFromString(RatingPage.serializer(), response.contentUtf8())
     }
 
     private companion object {
-        const val RING = 2
-        const val TIMEOUT_MILLIS = 2_000L
-        const val MAXIMUM_PAGES = 20
-        val STOP_PATIENCE = 1.milliseconds
+        const val MAILBOX_CAPACITY = 2
+        const val RESPONSE_TIMEOUT_MILLIS = 2_000L
+        const val MAX_PAGES_PER_POLL = 20
+        val STOP_TIMEOUT = 1.milliseconds
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
@@ -15,92 +15,96 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Pools each router's use of the organisations' limits. A router's word carries a sequence number; the newest one
- * counts, and one that wasn't renewed for [PATIENCE] is forgotten.
+ * Gossips each router's usage of the organisations' limits. Each router's usage report carries a sequence number; the
+ * report with the highest number counts, and a report that is not renewed within [REPORT_EXPIRY] is dropped.
  */
 public class UsageGossip(
     private val fleet: FleetView,
     private val clock: NanoClock,
 ) : GossipTopic {
     @Serializable
-    private data class OrganisationWord(
+    private data class OrganisationUsage(
         val organisation: OrganisationId,
         val inFlight: Double,
         val tokensPerMinute: Double,
     )
 
     @Serializable
-    private data class RouterWord(
+    private data class RouterReport(
         val router: RouterId,
         val sequence: Long,
-        val uses: List<OrganisationWord>,
+        val uses: List<OrganisationUsage>,
     )
 
-    private class Heard(
-        val word: RouterWord,
-        val at: Long,
+    private class ReceivedReport(
+        val report: RouterReport,
+        val receivedAt: Long,
     )
 
-    private val heard = ConcurrentHashMap<RouterId, Heard>()
+    private val received = ConcurrentHashMap<RouterId, ReceivedReport>()
 
     @Volatile
-    private var own = RouterWord(fleet.self.id, 0, emptyList())
+    private var ownReport = RouterReport(fleet.self.id, 0, emptyList())
 
     override val name: String get() = "usage"
 
-    /** Sets what this router tells the others. */
-    public fun tell(uses: Map<OrganisationId, Use>) {
-        val words = uses.map { (id, use) -> OrganisationWord(id, use.inFlight, use.tokensPerMinute) }
-        own = RouterWord(fleet.self.id, own.sequence + 1, words)
+    /** Sets the usage that this router reports to the others. */
+    public fun publish(uses: Map<OrganisationId, Use>) {
+        val usages = uses.map { (id, use) -> OrganisationUsage(id, use.inFlight, use.tokensPerMinute) }
+        ownReport = RouterReport(fleet.self.id, ownReport.sequence + 1, usages)
     }
 
-    /** What the other live routers use of [organisation]'s limits, by their last word. */
+    /** The usage of [organisation]'s limits by the other live routers, according to their latest reports. */
     public fun usageOfOthers(organisation: OrganisationId): Use {
         val now = clock.nanos()
         val live = fleet.members.mapTo(HashSet()) { it.id }
-        heard.values.removeIf { it.word.router !in live || now - it.at > PATIENCE.inWholeNanoseconds }
-        return heard.values
-            .flatMap { it.word.uses }
+        received.values.removeIf {
+            it.report.router !in live || now - it.receivedAt > REPORT_EXPIRY.inWholeNanoseconds
+        }
+        return received.values
+            .flatMap { it.report.uses }
             .filter { it.organisation == organisation }
-            .fold(Use.NONE) { sum, word -> sum + Use(word.inFlight, word.tokensPerMinute) }
+            .fold(Use.NONE) { sum, usage -> sum + Use(usage.inFlight, usage.tokensPerMinute) }
     }
 
     override fun outgoing(budgetBytes: Int): JsonElement? {
-        val words = ArrayList<RouterWord>()
+        val reports = ArrayList<RouterReport>()
         var bytes = 0
-        val freshestFirst = heard.values.sortedByDescending { it.at }.map { it.word }
-        for (word in listOf(own) + freshestFirst) {
-            bytes += BYTES_PER_ROUTER + word.uses.size * BYTES_PER_ORGANISATION
+        val newestFirst = received.values.sortedByDescending { it.receivedAt }.map { it.report }
+        for (report in listOf(ownReport) + newestFirst) {
+            bytes += BYTES_PER_ROUTER + report.uses.size * BYTES_PER_ORGANISATION
             if (bytes > budgetBytes) break
-            words += word
+            reports += report
         }
-        if (words.isEmpty()) return null
-        return Json.encodeToJsonElement(WORDS, words)
+        if (reports.isEmpty()) return null
+        return Json.encodeToJsonElement(REPORTS_SERIALIZER, reports)
     }
 
     override fun incoming(
         from: RouterId,
         payload: JsonElement,
     ) {
-        val words =
+        val reports =
             try {
-                LENIENT.decodeFromJsonElement(WORDS, payload)
+                LENIENT_JSON.decodeFromJsonElement(REPORTS_SERIALIZER, payload)
             } catch (_: SerializationException) {
                 return
             }
         val now = clock.nanos()
-        words.filter { it.router != fleet.self.id }.forEach { word ->
-            heard.merge(word.router, Heard(word, now)) { held, new ->
-                if (new.word.sequence > held.word.sequence) new else held
+        reports.filter { it.router != fleet.self.id }.forEach { report ->
+            received.merge(report.router, ReceivedReport(report, now)) { known, new ->
+                if (new.report.sequence > known.report.sequence) new else known
             }
         }
     }
 
     private companion object {
-        val PATIENCE = 10.seconds
+        val REPORT_EXPIRY = 10.seconds
+
+        /** Estimated encoded size of a report without its organisations, and of each organisation in it. */
         const val BYTES_PER_ROUTER = 90
         const val BYTES_PER_ORGANISATION = 80
-        val WORDS = ListSerializer(RouterWord.serializer())
-        val LENIENT = Json { ignoreUnknownKeys = true }
+        val REPORTS_SERIALIZER = ListSerializer(RouterReport.serializer())
+        val LENIENT_JSON = Json { ignoreUnknownKeys = true }
     }
 }
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageLimiter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageLimiter.kt
@@ -12,40 +12,40 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Keeps each organisation's use and this router's part of its limits. The parts are set on a duty thread; its ring
- * carries no messages, so it can't fill up.
+ * Tracks each organisation's usage and this router's share of its limits. An actor thread recomputes the shares at
+ * every tick; it receives no messages, so its mailbox can't fill up.
  */
 public class UsageLimiter(
     private val holder: CatalogueHolder,
     private val fleet: FleetView,
     private val clock: NanoClock,
 ) : AutoCloseable {
-    /** What the routers tell each other about their use. */
+    /** Exchanges the usage between routers. */
     public val gossip: UsageGossip = UsageGossip(fleet, clock)
 
     private val uses = ConcurrentHashMap<OrganisationId, OrganisationUse>()
-    private val duty = ActorThread.start<Unit>("limits", RING_CAPACITY, TICK, ::refresh) {}
+    private val actor = ActorThread.start<Unit>("limits", MAILBOX_CAPACITY, TICK_INTERVAL, ::refreshShares) {}
 
-    /** The use of [organisation]. */
+    /** The usage and limits of [organisation]. */
     public fun of(organisation: Organisation): OrganisationUse =
         uses[organisation.id] ?: uses.computeIfAbsent(organisation.id) {
             OrganisationUse(organisation.limits, fleet.members.size, clock.nanos())
         }
 
-    override fun close(): Unit = duty.close()
+    override fun close(): Unit = actor.close()
 
-    private fun refresh() {
+    private fun refreshShares() {
         val now = clock.nanos()
-        val routers = fleet.members.size
+        val routerCount = fleet.members.size
         uses.forEach { (id, use) ->
             val limits = holder.index.organisation(id)?.limits ?: return@forEach
-            use.refresh(limits, gossip.usageOfOthers(id), routers, now)
+            use.refresh(limits, gossip.usageOfOthers(id), routerCount, now)
         }
-        gossip.tell(uses.mapValues { it.value.told }.filterValues { it != Use.NONE })
+        gossip.publish(uses.mapValues { it.value.told }.filterValues { it != Use.NONE })
     }
 
     private companion object {
-        const val RING_CAPACITY = 2
-        val TICK = 100.milliseconds
+        const val MAILBOX_CAPACITY = 2
+        val TICK_INTERVAL = 100.milliseconds
     }
 }
