--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ChoiceController.kt
@@ -9,7 +9,7 @@
 import dev.almondhaven.decision.rollout.Quarantine
 import dev.almondhaven.decision.rollout.QuarantinePolicy
 import dev.almondhaven.decision.rollout.QuarantineSet
-import dev.almondhaven.decision.rollout.RatingTrust
+import dev.almondhaven.decision.rollout.RatingAnomalyDetector
 import dev.almondhaven.decision.rollout.RecentWindows
 import dev.almondhaven.decision.rollout.RollOutReport
 import dev.almondhaven.decision.rollout.TrialLimits
@@ -177,9 +177,9 @@
         val index = holder.index
         if (now - lastDistrustCheckMillis >= DISTRUST_CHECK_INTERVAL_MILLIS) {
             lastDistrustCheckMillis = now
-            updateDistrustedBuckets(RatingTrust.distrustedBuckets(pool.totals))
+            updateDistrustedBuckets(RatingAnomalyDetector.distrustedBuckets(pool.totals))
         }
-        val currentQuarantines = snapshot.quarantines.current { index.version(it)?.definedIn }
+        val currentQuarantines = snapshot.quarantines.withoutSuperseded { index.version(it)?.definedIn }
         windows.advance(now)
         val policy = QuarantinePolicy(routerId, limits())
         val newQuarantines = policy.decide(index.catalogue, currentQuarantines, pool.totals, windows.windows(), now)
@@ -217,7 +217,7 @@
                 .flatMap { listOf(it.version, it.rollOut!!.predecessor).map { version -> it.model to version } }
                 .toSet()
         pool
-            .nextToTell(freeCapacity) { (it.version.model to it.version.version) in versionsInRollOut }
+            .nextToGossip(freeCapacity) { (it.version.model to it.version.version) in versionsInRollOut }
             .forEach { (cell, tally) -> outgoingUpdates.offer(EvidenceUpdate(cell, tally)) }
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ConfigurationWatcher.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ConfigurationWatcher.kt
@@ -91,7 +91,7 @@
         return objects.watch(ConfigurationStore.HEAD_KEY.value, watchRevision, watchWait).flatMap { result ->
             if (result.changes.isNotEmpty()) return readHead()
             watchRevision = result.revision
-            headGeneration?.let { freshness.confirmed(it, requestedAt) }
+            headGeneration?.let { freshness.recordConfirmation(it, requestedAt) }
             Unit.right()
         }
     }
@@ -103,7 +103,7 @@
         val catalogue = value?.let { ConfigurationStore.decode(it).catalogue } ?: return
         holder.offer(catalogue)
         headGeneration = catalogue.generation.takeUnless { holder.diverges(catalogue) }
-        headGeneration?.let { freshness.confirmed(it, requestedAt) }
+        headGeneration?.let { freshness.recordConfirmation(it, requestedAt) }
         if (catalogue.generation < holder.generation) {
             LogEvent.CONFIGURATION_STALE_READ.log(logger) { "read=${catalogue.generation} held=${holder.generation}" }
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/AdmissionQueue.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/AdmissionQueue.kt
@@ -1,7 +1,7 @@
 package dev.almondhaven.router.endpoint
 
 import dev.almondhaven.decision.endpoint.EndpointChoice
-import dev.almondhaven.decision.limit.Enqueued
+import dev.almondhaven.decision.limit.EnqueueResult
 import dev.almondhaven.decision.limit.FairQueue
 import dev.almondhaven.decision.limit.QueuedRequest
 import dev.almondhaven.model.NanoClock
@@ -91,8 +91,8 @@
     private fun handleEnqueue(message: Message.Enqueue) {
         val queue = queues.getOrPut(message.key) { FairQueue() }
         when (val result = queue.offer(message.request, clock.nanos())) {
-            is Enqueued.Refused -> finish(message.key, message.request, QueueResult.Refused(result.retryAfter))
-            Enqueued.Waiting -> serveWaiting(message.key, queue)
+            is EnqueueResult.Refused -> finish(message.key, message.request, QueueResult.Refused(result.retryAfter))
+            EnqueueResult.Waiting -> serveWaiting(message.key, queue)
         }
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/AdmissionFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/AdmissionFilter.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.router.filter
 
-import dev.almondhaven.decision.limit.OrganisationUse
+import dev.almondhaven.decision.limit.OrganisationLimiter
 import dev.almondhaven.model.Refusal
 import dev.almondhaven.model.ResultCode
 import dev.almondhaven.router.limit.UsageLimiter
@@ -17,7 +17,7 @@
  */
 internal class AdmissionFilter(
     private val maximumInFlight: Int,
-    private val limiter: UsageLimiter,
+    private val usageLimiter: UsageLimiter,
 ) : RequestFilter {
     private val inFlight = AtomicInteger()
 
@@ -30,26 +30,31 @@
             return refuse("this router already has $maximumInFlight requests in flight", RETRY_AFTER)
         }
         exchange.journal.whenEnded { inFlight.decrementAndGet() }
-        val use = limiter.of(exchange.organisation)
-        if (!use.tryStart()) return refuse("the organisation has reached its limit of concurrent requests", RETRY_AFTER)
-        exchange.journal.whenEnded { use.end() }
+        val limiter = usageLimiter.of(exchange.organisation)
+        if (!limiter.tryStart()) {
+            return refuse(
+                "the organisation has reached its limit of concurrent requests",
+                RETRY_AFTER,
+            )
+        }
+        exchange.journal.whenEnded { limiter.end() }
         val call = exchange.call as? Call.Model ?: return next.handle(exchange)
-        return reserve(exchange, call, use) ?: next.handle(exchange)
+        return reserve(exchange, call, limiter) ?: next.handle(exchange)
     }
 
     /** Reserves the estimated tokens against the organisation's rate limit; returns a refusal when they exceed it. */
     private fun reserve(
         exchange: Exchange,
         call: Call.Model,
-        use: OrganisationUse,
+        limiter: OrganisationLimiter,
     ): CompletableFuture<Answer>? {
         val estimatedTokens = estimateTokens(exchange, call)
-        val retryAfter = use.reserve(estimatedTokens)
+        val retryAfter = limiter.reserve(estimatedTokens)
         if (retryAfter != null) return refuse("the organisation has exceeded its token rate limit", retryAfter)
         exchange.journal.whenEnded {
             val usage = exchange.journal.usage
             val usedTokens = if (usage == null) 0 else usage.promptTokens + usage.completionTokens
-            use.settle(estimatedTokens, usedTokens)
+            limiter.settle(estimatedTokens, usedTokens)
         }
         return null
     }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/CascadeRunner.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/CascadeRunner.kt
@@ -34,7 +34,7 @@
         val plan = planned.plan
         val deadline = firstStepDeadline(exchange)
         return runBuffered(exchange, plan.first, planned.taskClass, deadline, next).thenCompose { first ->
-            if (first.answer !is Answer.Refused && first.confidence >= plan.acceptFrom) {
+            if (first.answer !is Answer.Refused && first.confidence >= plan.minimumConfidence) {
                 first.accept()
                 CompletableFuture.completedFuture(first.answer)
             } else {
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestPlanner.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestPlanner.kt
@@ -69,7 +69,7 @@
         RequestShape(
             promptTokens = exchange.body.length() / BODY_BYTES_PER_TOKEN,
             outputTokensLimit = (call.body["max_tokens"] as? JsonPrimitive)?.intOrNull?.takeIf { it > 0 },
-            holdsImages = RequestFeatures.containsImages(call.body),
+            hasImages = RequestFeatures.containsImages(call.body),
         )
 
     /** Ignores declared classes that are not configured, so that callers can't grow the evidence without bound. */
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/SessionFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/SessionFilter.kt
@@ -8,7 +8,7 @@
 import dev.almondhaven.decision.session.SessionPin
 import dev.almondhaven.decision.session.SessionRefusal
 import dev.almondhaven.decision.session.SessionTokens
-import dev.almondhaven.decision.session.SessionVersionRule
+import dev.almondhaven.decision.session.SessionVersionResolver
 import dev.almondhaven.decision.session.VerifiedToken
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.model.ModelVersionId
@@ -89,7 +89,7 @@
                     if (pin == null) {
                         begin(exchange, id, known = true, next)
                     } else {
-                        resume(exchange, call, VerifiedToken(pin, outdated = true), token = null, next)
+                        resume(exchange, call, VerifiedToken(pin, needsRenewal = true), token = null, next)
                     }
                 },
                 exchange.eventLoop,
@@ -132,7 +132,7 @@
     ): CompletableFuture<Answer> {
         val pin = session.pin
         val version =
-            SessionVersionRule
+            SessionVersionResolver
                 .resolve(holder.index, exchange.organisation.id, pin.version)
                 .fold({ return refuse(refusal(it)) }, { it })
         if (!matchesSession(exchange, call.selector, pin, version)) return refuse(modelDiffers(call.selector, version))
@@ -140,8 +140,8 @@
         val current = if (moved) pin.movedTo(version) else pin
         if (moved) recordMove(exchange, pin, current)
         return next.handle(exchange.pinnedTo(version)).thenApply { answer ->
-            val renewed = if (session.outdated) current.copy(issuedAt = epochMillis()) else current
-            if (moved || session.outdated) addSessionHeaders(exchange, renewed) else addTokenHeader(exchange, token)
+            val renewed = if (session.needsRenewal) current.copy(issuedAt = epochMillis()) else current
+            if (moved || session.needsRenewal) addSessionHeaders(exchange, renewed) else addTokenHeader(exchange, token)
             answer
         }
     }
@@ -174,7 +174,7 @@
 
             is ModelSelector.Version -> {
                 selector.id == pin.version ||
-                    SessionVersionRule.resolve(holder.index, exchange.organisation.id, selector.id).getOrNull() ==
+                    SessionVersionResolver.resolve(holder.index, exchange.organisation.id, selector.id).getOrNull() ==
                     version
             }
         }
@@ -207,7 +207,7 @@
             }
 
             is SessionRefusal.Unknown -> {
-                val detail = "model version ${refusal.version} isn't in configuration ${holder.index.generation} of this router"
+                val detail = "this router's configuration ${holder.index.generation} has no version ${refusal.version}"
                 Refusal.notRun(ResultCode.SESSION_VERSION_UNKNOWN, detail, RETRY_AFTER)
             }
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/VersionPolicy.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/VersionPolicy.kt
@@ -3,7 +3,7 @@
 import dev.almondhaven.catalogue.CatalogueIndex
 import dev.almondhaven.catalogue.ModelVersion
 import dev.almondhaven.decision.rollout.QuarantineSet
-import dev.almondhaven.decision.rollout.RollOutStage
+import dev.almondhaven.decision.rollout.RollOutAssignment
 import dev.almondhaven.model.Refusal
 import dev.almondhaven.model.ResultCode
 import dev.almondhaven.router.controller.CatalogueHolder
@@ -30,7 +30,7 @@
         val matching = matchingVersions(index, exchange)
         if (!hasFreeVersionChoice(exchange)) return matching
         val withEndpoints = matching.filter { index.endpoints(it.id).isNotEmpty() }.ifEmpty { matching }
-        return RollOutStage.narrow(quarantines().usable(withEndpoints), rollOutKey, epochMillis)
+        return RollOutAssignment.eligible(quarantines().usable(withEndpoints), rollOutKey, epochMillis)
     }
 
     /** The refusal of [exchange] if it must not be dispatched to its version now; null if it may be. */
@@ -47,7 +47,7 @@
         }
         val current = index.version(version.id) ?: version
         val isResuming = exchange.resumeAfter > 0
-        if (isResuming || !hasFreeVersionChoice(exchange) || !quarantines().holds(current)) return null
+        if (isResuming || !hasFreeVersionChoice(exchange) || !quarantines().contains(current)) return null
         val usable = quarantines().usable(matchingVersions(index, exchange))
         if (usable.any { it.id == version.id }) return null
         return Refusal(ResultCode.VERSION_QUARANTINED, "model version ${version.id} is quarantined", outcome)
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.router.limit
 
-import dev.almondhaven.decision.limit.Use
+import dev.almondhaven.decision.limit.OrganisationUsage
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.OrganisationId
@@ -23,7 +23,7 @@
     private val clock: NanoClock,
 ) : GossipTopic {
     @Serializable
-    private data class OrganisationUsage(
+    private data class ReportedUsage(
         val organisation: OrganisationId,
         val inFlight: Double,
         val tokensPerMinute: Double,
@@ -33,7 +33,7 @@
     private data class RouterReport(
         val router: RouterId,
         val sequence: Long,
-        val uses: List<OrganisationUsage>,
+        val uses: List<ReportedUsage>,
     )
 
     private class ReceivedReport(
@@ -49,13 +49,13 @@
     override val name: String get() = "usage"
 
     /** Sets the usage that this router reports to the others. */
-    public fun publish(uses: Map<OrganisationId, Use>) {
-        val usages = uses.map { (id, use) -> OrganisationUsage(id, use.inFlight, use.tokensPerMinute) }
+    public fun publish(uses: Map<OrganisationId, OrganisationUsage>) {
+        val usages = uses.map { (id, use) -> ReportedUsage(id, use.inFlight, use.tokensPerMinute) }
         ownReport = RouterReport(fleet.self.id, ownReport.sequence + 1, usages)
     }
 
     /** The usage of [organisation]'s limits by the other live routers, according to their latest reports. */
-    public fun usageOfOthers(organisation: OrganisationId): Use {
+    public fun usageOfOthers(organisation: OrganisationId): OrganisationUsage {
         val now = clock.nanos()
         val live = fleet.members.mapTo(HashSet()) { it.id }
         received.values.removeIf {
@@ -64,10 +64,12 @@
         return received.values
             .flatMap { it.report.uses }
             .filter { it.organisation == organisation }
-            .fold(Use.NONE) { sum, usage -> sum + Use(usage.inFlight, usage.tokensPerMinute) }
+            .fold(
+                OrganisationUsage.NONE,
+            ) { sum, usage -> sum + OrganisationUsage(usage.inFlight, usage.tokensPerMinute) }
     }
 
-    override fun outgoing(budgetBytes: Int): JsonElement? {
+    override fun nextPayload(budgetBytes: Int): JsonElement? {
         val reports = ArrayList<RouterReport>()
         var bytes = 0
         val newestFirst = received.values.sortedByDescending { it.receivedAt }.map { it.report }
@@ -80,7 +82,7 @@
         return Json.encodeToJsonElement(REPORTS_SERIALIZER, reports)
     }
 
-    override fun incoming(
+    override fun mergePayload(
         from: RouterId,
         payload: JsonElement,
     ) {
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageLimiter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageLimiter.kt
@@ -1,8 +1,8 @@
 package dev.almondhaven.router.limit
 
 import dev.almondhaven.catalogue.Organisation
-import dev.almondhaven.decision.limit.OrganisationUse
-import dev.almondhaven.decision.limit.Use
+import dev.almondhaven.decision.limit.OrganisationLimiter
+import dev.almondhaven.decision.limit.OrganisationUsage
 import dev.almondhaven.decision.membership.FleetView
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.model.OrganisationId
@@ -23,13 +23,13 @@
     /** Exchanges the usage between routers. */
     public val gossip: UsageGossip = UsageGossip(fleet, clock)
 
-    private val uses = ConcurrentHashMap<OrganisationId, OrganisationUse>()
+    private val limiters = ConcurrentHashMap<OrganisationId, OrganisationLimiter>()
     private val actor = ActorThread.start<Unit>("limits", MAILBOX_CAPACITY, TICK_INTERVAL, ::refreshShares) {}
 
-    /** The usage and limits of [organisation]. */
-    public fun of(organisation: Organisation): OrganisationUse =
-        uses[organisation.id] ?: uses.computeIfAbsent(organisation.id) {
-            OrganisationUse(organisation.limits, fleet.members.size, clock.nanos())
+    /** The limiter of [organisation]. */
+    public fun of(organisation: Organisation): OrganisationLimiter =
+        limiters[organisation.id] ?: limiters.computeIfAbsent(organisation.id) {
+            OrganisationLimiter(organisation.limits, fleet.members.size, clock.nanos())
         }
 
     override fun close(): Unit = actor.close()
@@ -37,11 +37,11 @@
     private fun refreshShares() {
         val now = clock.nanos()
         val routerCount = fleet.members.size
-        uses.forEach { (id, use) ->
+        limiters.forEach { (id, limiter) ->
             val limits = holder.index.organisation(id)?.limits ?: return@forEach
-            use.refresh(limits, gossip.usageOfOthers(id), routerCount, now)
+            limiter.refresh(limits, gossip.usageOfOthers(id), routerCount, now)
         }
-        gossip.publish(uses.mapValues { it.value.told }.filterValues { it != Use.NONE })
+        gossip.publish(limiters.mapValues { it.value.reportedUsage }.filterValues { it != OrganisationUsage.NONE })
     }
 
     private companion object {
