--- a/decision/src/main/kotlin/dev/almondhaven/decision/billing/BillingOutbox.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/billing/BillingOutbox.kt
@@ -139,7 +139,9 @@
         return true
     }
 
-    /** Makes batches with a grown delay due at [now] and resets the delay: a store succeeded, so an outage has ended. */
+    /**
+     * Makes batches with a grown delay due at [now] and resets the delay: a store succeeded, so an outage has ended.
+     */
     public fun resetResendDelays(now: Long) {
         unstored.values.filter { it.resendDelay > limits.initialResendDelay * 2 }.forEach {
             it.sendAt = now
