--- a/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointView.kt
+++ b/decision/src/main/kotlin/dev/almondhaven/decision/traffic/EndpointView.kt
@@ -16,7 +16,7 @@
 public class EndpointView(
     listing: EndpointListing,
     group: EjectionGroup,
-    memoryTokens: Long,
+    kvCacheTokens: Long,
     public val prefillSpeed: PrefillSpeed,
     now: Long,
 ) {
@@ -24,7 +24,7 @@
         private set
     public val health: EndpointHealth = EndpointHealth(group)
     public val warmUp: WarmUpRateLimiter = WarmUpRateLimiter(now)
-    public val prefixCache: PrefixCacheView = PrefixCacheView(memoryTokens)
+    public val prefixCache: PrefixCacheView = PrefixCacheView(kvCacheTokens)
     public val remotePrefills: RemotePrefills = RemotePrefills()
 
     public val failureRate: FailureRate = FailureRate()
@@ -49,7 +49,7 @@
         newListing: EndpointListing,
         now: Long,
     ) {
-        if (newListing.bornMillis != listing.bornMillis) prefixCache.clear()
+        if (newListing.startedAtMillis != listing.startedAtMillis) prefixCache.clear()
         listing = newListing
         extendColdPeriod(newListing, now)
     }
--- a/decision/src/test/kotlin/dev/almondhaven/decision/traffic/EndpointPlacementTest.kt
+++ b/decision/src/test/kotlin/dev/almondhaven/decision/traffic/EndpointPlacementTest.kt
@@ -38,9 +38,9 @@
                 slots = 8,
                 leaving = false,
                 coldLeft = Duration.ZERO,
-                bornMillis = 1,
+                startedAtMillis = 1,
             )
-        return EndpointView(listing, group, memoryTokens = 100_000, prefillSpeed, now = 0)
+        return EndpointView(listing, group, kvCacheTokens = 100_000, prefillSpeed, now = 0)
     }
 
     private val plainRequest =
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/CdsTrainingRun.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/CdsTrainingRun.kt
@@ -8,7 +8,7 @@
 import dev.almondhaven.model.FailureDomainId
 import dev.almondhaven.platform.WireSamples
 import dev.almondhaven.traffic.CallerLimits
-import dev.almondhaven.traffic.RouterPlace
+import dev.almondhaven.traffic.NodeSettings
 import dev.almondhaven.traffic.TrafficBounds
 import io.netty.channel.MultiThreadIoEventLoopGroup
 import io.netty.channel.nio.NioIoHandler
@@ -57,7 +57,7 @@
         val store = startServer { storeResponse(it, endpoint) }
         val bounds = TrafficBounds(1.seconds, 2.seconds, 5.seconds, 0.9, 50.0, 10.seconds, 5.seconds)
         val settings =
-            RouterPlace(
+            NodeSettings(
                 "rehearsal",
                 FailureDomainId("here"),
                 "127.0.0.1:0",
@@ -100,7 +100,7 @@
 
     private companion object {
         const val STREAM = "${WireSamples.STREAM_PATH}a"
-        const val UNARY = "${WireSamples.WHOLE_PATH}a"
+        const val UNARY = "${WireSamples.UNARY_PATH}a"
         const val EVENTS = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
         const val REQUEST_ID = "r-1"
         const val OK = 200
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/Gateway.kt
@@ -21,7 +21,7 @@
 import dev.almondhaven.platform.StoreChange
 import dev.almondhaven.platform.StoreKind
 import dev.almondhaven.platform.StoredObject
-import dev.almondhaven.traffic.RouterPlace
+import dev.almondhaven.traffic.NodeSettings
 import io.github.oshai.kotlinlogging.KotlinLogging
 import io.netty.channel.MultiThreadIoEventLoopGroup
 import io.netty.channel.nio.NioIoHandler
@@ -39,7 +39,7 @@
  * routers must agree on. A single thread handles requests and state, so no data is shared between threads.
  */
 internal class Gateway private constructor(
-    private val settings: RouterPlace,
+    private val settings: NodeSettings,
 ) {
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val loop = group.next()
@@ -219,7 +219,7 @@
     /** Updates the address in an entry that another VM created under this router's name. */
     private fun updateAddress(held: StoredObject) {
         if (held.asPeer() == settings.peerAddress) return
-        store.call(StoreCall.moveRouter(held, settings.peerAddress), REGISTER_TIMEOUT) { response ->
+        store.call(StoreCall.updatePeerAddress(held, settings.peerAddress), REGISTER_TIMEOUT) { response ->
             if (response == null) {
                 loop.schedule(::register, REGISTER_RETRY_DELAY.inWholeMilliseconds, TimeUnit.MILLISECONDS)
             }
@@ -233,7 +233,7 @@
     fun stop() {
         LogEvent.ROUTER_STOPPING.log(logger) { "router=${settings.name}" }
         lifecycle.stop()
-        val end = settings.bounds.stopGrace - STOP_MARGIN
+        val end = settings.bounds.shutdownGracePeriod - STOP_MARGIN
         while (lifecycle.stoppingFor() < end && (lifecycle.stoppingFor() < BALANCER_DRAIN_DELAY || isBusy())) {
             TimeUnit.MILLISECONDS.sleep(STOP_CHECK_MILLIS)
             if (lifecycle.stoppingFor() >= BALANCER_DRAIN_DELAY) loop.submit { callerServer.closeIdle() }.get()
@@ -266,6 +266,6 @@
         private const val STOP_CHECK_MILLIS = 50L
 
         /** Starts serving with [settings]. */
-        fun start(settings: RouterPlace): Gateway = Gateway(settings).also { it.start() }
+        fun start(settings: NodeSettings): Gateway = Gateway(settings).also { it.start() }
     }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/GatewayMain.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/GatewayMain.kt
@@ -6,7 +6,7 @@
 import ch.qos.logback.classic.LoggerContext
 import dev.almondhaven.model.LogEvent
 import dev.almondhaven.platform.NodeFile
-import dev.almondhaven.traffic.RouterPlace
+import dev.almondhaven.traffic.NodeSettings
 import io.github.oshai.kotlinlogging.KotlinLogging
 import org.slf4j.LoggerFactory
 import sun.misc.Signal
@@ -38,8 +38,8 @@
     Runtime.getRuntime().halt(0)
 }
 
-private fun readSettings(): RouterPlace? {
-    val path = Path.of(System.getenv(NodeFile.PATH_VARIABLE) ?: NodeFile.USUAL_PATH)
+private fun readSettings(): NodeSettings? {
+    val path = Path.of(System.getenv(NodeFile.PATH_VARIABLE) ?: NodeFile.DEFAULT_PATH)
     val text =
         try {
             Files.readString(path)
@@ -59,7 +59,7 @@
  * Reads the settings again and logs whether they have changed. A running process does not apply changes: addresses
  * can't change while it runs, and everything else comes from the store.
  */
-private fun reload(running: RouterPlace) {
+private fun reload(running: NodeSettings) {
     val next = readSettings() ?: return
     LogEvent.SETTINGS_RELOADED.log(logger) { "router=${running.name} changed=${next != running}" }
 }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Admission.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Admission.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.gateway.net.CallerRequest
 import dev.almondhaven.platform.WireCalls
 import dev.almondhaven.traffic.CallerKey
-import dev.almondhaven.traffic.KeyHolder
+import dev.almondhaven.traffic.KeyOwner
 import dev.almondhaven.traffic.TrafficConfiguration
 import dev.almondhaven.traffic.TrafficRoute
 import kotlin.time.Duration
@@ -23,7 +23,7 @@
     /** Returns the admitted call for [request], or the response that rejects it. */
     fun admit(request: CallerRequest): Either<RouterResponse, AdmittedCall> {
         val demand =
-            WireCalls.demand { request.headers.get(it) }
+            WireCalls.parseRequest { request.headers.get(it) }
                 ?: return RouterResponse.of(BAD_REQUEST, null, "no request id").left()
         val id = demand.requestId
         if (context.lifecycle.stoppingFor() >
@@ -54,7 +54,7 @@
         configuration: TrafficConfiguration,
         route: TrafficRoute,
         key: CallerKey?,
-    ): KeyHolder? = if (route.open) null else key?.let { configuration.keys?.get(it) }
+    ): KeyOwner? = if (route.open) null else key?.let { configuration.keys?.get(it) }
 
     /**
      * Rejects with [status], or with a retryable 503 while the configuration may be stale: a router that may have
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AdmittedCall.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/AdmittedCall.kt
@@ -4,8 +4,8 @@
 import dev.almondhaven.gateway.net.CallerRequest
 import dev.almondhaven.model.OrganisationId
 import dev.almondhaven.model.ServiceId
-import dev.almondhaven.traffic.CallDemand
-import dev.almondhaven.traffic.KeyHolder
+import dev.almondhaven.traffic.KeyOwner
+import dev.almondhaven.traffic.RequestMetadata
 import dev.almondhaven.traffic.TrafficConfiguration
 import dev.almondhaven.traffic.TrafficRoute
 import kotlin.time.Duration
@@ -14,10 +14,10 @@
 /** A request that has passed admission, with the configuration that was current when it arrived. */
 internal class AdmittedCall(
     val request: CallerRequest,
-    val demand: CallDemand,
+    val demand: RequestMetadata,
     val route: TrafficRoute,
     val configuration: TrafficConfiguration,
-    private val holder: KeyHolder?,
+    private val holder: KeyOwner?,
 ) {
     val id: String get() = demand.requestId
     val organisation: OrganisationId? get() = holder?.organisation
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Attempt.kt
@@ -6,10 +6,10 @@
 import dev.almondhaven.gateway.net.OutboundRequest
 import dev.almondhaven.gateway.state.EndpointHandle
 import dev.almondhaven.model.LogEvent
-import dev.almondhaven.platform.EndpointTerms
+import dev.almondhaven.platform.ForwardingParameters
 import dev.almondhaven.platform.WireCalls
-import dev.almondhaven.traffic.AnswerSigns
 import dev.almondhaven.traffic.RequestKind
+import dev.almondhaven.traffic.ResponseMetadata
 import io.github.oshai.kotlinlogging.KotlinLogging
 import io.netty.buffer.ByteBuf
 import io.netty.handler.codec.http.HttpHeaders
@@ -94,7 +94,7 @@
             )
         }
         val terms =
-            EndpointTerms(
+            ForwardingParameters(
                 endpoint = listing.id,
                 deadline = exchange.remainingTime(),
                 organisation = call.organisation,
@@ -103,7 +103,7 @@
                 urgency = if (call.demand.promptTokens > 0) urgency() else null,
             )
         val requestHeaders = WireCalls.toEndpoint(call.request.headers, terms)
-        val maxIdle = if (call.route.repeatable) Duration.INFINITE else MAX_IDLE_NON_RETRYABLE
+        val maxIdle = if (call.route.isRetryable) Duration.INFINITE else MAX_IDLE_NON_RETRYABLE
         context.watchdog.watch(this)
         outbound =
             endpoint.pool.send(
@@ -131,7 +131,7 @@
         status: Int,
         headers: HttpHeaders,
     ): HeadAction {
-        val signals = WireCalls.signs(status) { headers.get(it) }
+        val signals = WireCalls.parseResponse(status) { headers.get(it) }
         if (signals.requestId != null && signals.requestId != call.id) {
             LogEvent.ENDPOINT_ANSWER_BAD.log(logger) {
                 "request=${call.id} endpoint=${endpointState.listing.id} response to ${signals.requestId}"
@@ -141,7 +141,7 @@
         signals.load?.let { endpointState.recordLoad(it, context.clock.nanos()) }
         signals.coldLeft?.let { endpointState.warmUp.extendTo(context.clock.nanos() + it.inWholeNanoseconds) }
         this.status = status
-        this.headers = WireCalls.toCaller(headers)
+        this.headers = WireCalls.callerResponseHeaders(headers)
         stage = stageOf(status, signals, headers)
         when (stage) {
             Stage.EVENTS -> startStream(signals)
@@ -153,13 +153,13 @@
 
     private fun stageOf(
         status: Int,
-        signals: AnswerSigns,
+        signals: ResponseMetadata,
         headers: HttpHeaders,
     ): Stage =
         when {
             signals.notRun -> Stage.STATED_NOT_RUN
             status !in SUCCESS -> Stage.FAILURE
-            !signals.sealed -> Stage.SETTLED
+            !signals.isSigned -> Stage.SETTLED
             headers.get("Content-Type")?.startsWith("text/event-stream") == true -> Stage.EVENTS
             else -> Stage.WHOLE
         }
@@ -171,7 +171,7 @@
         lastEventAt = context.clock.nanos()
     }
 
-    private fun startStream(signals: AnswerSigns) {
+    private fun startStream(signals: ResponseMetadata) {
         recordFirstResponse()
         endPrefill()
         firstResponseMillis?.let {
@@ -331,7 +331,7 @@
         val limit = if (firstResponseMillis == null) firstResponseTimeout() else eventGapTimeout(now)
         val endpointSilence = (now - maxOf(endpoint.lastReceivedAt, startedAt)).nanoseconds
         if (silence < limit) return
-        if (!call.route.repeatable) return markSuspect()
+        if (!call.route.isRetryable) return markSuspect()
         val endpointAlive = call.route.kind == RequestKind.STREAMING && endpointSilence < ENDPOINT_ALIVE_WINDOW
         if (endpointAlive && silence < MAX_EVENT_GAP) return
         if (!exchange.canRetry()) return markSuspect()
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/EndpointSelector.kt
@@ -4,7 +4,7 @@
 import dev.almondhaven.decision.traffic.VersionConstraint
 import dev.almondhaven.gateway.state.EndpointHandle
 import dev.almondhaven.model.EndpointId
-import dev.almondhaven.traffic.CallDemand
+import dev.almondhaven.traffic.RequestMetadata
 
 /** Finds the endpoints that are eligible for a call, and the best of them. */
 internal class EndpointSelector(
@@ -59,7 +59,7 @@
 
     /** Builds the placement request for [demand] on [model], which is null for plain services. */
     fun placementRequest(
-        demand: CallDemand,
+        demand: RequestMetadata,
         model: String?,
     ): PlacementRequest {
         val sharedPrefix = demand.promptParts.dropLast(1).lastOrNull()
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/Exchange.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.gateway.net.ResponseWriter
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.LogEvent
-import dev.almondhaven.traffic.CallDemand
+import dev.almondhaven.traffic.RequestMetadata
 import io.github.oshai.kotlinlogging.KotlinLogging
 import java.util.concurrent.Future
 import java.util.concurrent.TimeUnit
@@ -58,7 +58,7 @@
         (call.timeLimit - context.clock.elapsed(call.request.receivedAt)).coerceAtLeast(Duration.ZERO)
 
     fun start() {
-        val routerChoosesModel = call.route.models.isNotEmpty() && call.demand.model == CallDemand.ANY_MODEL
+        val routerChoosesModel = call.route.models.isNotEmpty() && call.demand.model == RequestMetadata.ANY_MODEL
         if (routerChoosesModel) {
             model =
                 context.cascade.firstModel(
@@ -102,13 +102,13 @@
      * without a response.
      */
     fun canRetry(): Boolean =
-        call.route.repeatable && executions + 1 < call.route.mostAttempts && canAttempt() &&
+        call.route.isRetryable && executions + 1 < call.route.maxAttempts && canAttempt() &&
             context.routing.retryBudgetOf(call.service).available(context.clock.nanos()) >= 1
 
     /** Whether the request may be sent once more, given that no attempt is in flight. */
     private fun canAttempt(): Boolean =
-        (call.route.repeatable || !mayHaveExecuted) && executions < call.route.mostAttempts &&
-            sends < call.route.mostAttempts + MAX_NOT_EXECUTED_SENDS
+        (call.route.isRetryable || !mayHaveExecuted) && executions < call.route.maxAttempts &&
+            sends < call.route.maxAttempts + MAX_NOT_EXECUTED_SENDS
 
     /**
      * Returns the larger model to escalate to from an answer that begins with [confidence], and takes a retry from the
@@ -121,7 +121,7 @@
         val currentModel = attempt.model ?: return null
         val conditions = escalationConditions()
         backlogMillis = conditions.prefillBacklogMillis.toInt()
-        if (responseStarted || executions + 2 > call.route.mostAttempts) return null
+        if (responseStarted || executions + 2 > call.route.maxAttempts) return null
         val larger =
             context.cascade.escalationTarget(call.route.models, currentModel, confidence, conditions) ?: return null
         return larger.takeIf { spendRetry(ESCALATION_BUDGET_SHARE) }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/call/RouterResponse.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/call/RouterResponse.kt
@@ -37,7 +37,8 @@
             extraHeaders: List<Pair<String, String>> = emptyList(),
         ): RouterResponse {
             val headers =
-                WireCalls.ownAnswer(requestId) + ("Content-Type" to "text/plain; charset=utf-8") + extraHeaders
+                WireCalls.routerResponseHeaders(requestId) + ("Content-Type" to "text/plain; charset=utf-8") +
+                    extraHeaders
             return RouterResponse(status, requestId, reason, headers, "$reason\n".toByteArray())
         }
     }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/KindWatcher.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/KindWatcher.kt
@@ -87,7 +87,7 @@
         revision: Long,
         response: StoreResponse?,
     ) {
-        if (response?.status == StoreCall.HISTORY_GONE) {
+        if (response?.status == StoreCall.REVISION_EXPIRED) {
             LogEvent.STORE_HISTORY_GONE.log(logger) { "kind=$kind revision=$revision" }
             return list(after = null, found = emptyList())
         }
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOutController.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RollOutController.kt
@@ -59,7 +59,9 @@
     /** Applies the current state of an order from the store. */
     fun applyOrder(order: RollOutOrder) {
         val existing = activeRollOuts[order.service]
-        if (existing == null || existing.order.orderedAt != order.orderedAt || existing.order.target != order.target) {
+        if (existing == null || existing.order.creationRevision != order.creationRevision ||
+            existing.order.target != order.target
+        ) {
             activeRollOuts[order.service] = ActiveRollOut(order, clock.nanos())
             announceCurrentSessions(order)
         } else {
@@ -128,7 +130,7 @@
     }
 
     private fun sessionsOf(service: ServiceId): SessionVersions =
-        sessions.getOrPut(service) { SessionVersions(bounds.sessionGap) }
+        sessions.getOrPut(service) { SessionVersions(bounds.sessionIdleTimeout) }
 
     /** Records that an endpoint of [version] starts to run a request of [session]. */
     fun runStarted(
--- a/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RoutingState.kt
+++ b/gateway/src/main/kotlin/dev/almondhaven/gateway/state/RoutingState.kt
@@ -108,7 +108,11 @@
         before: EndpointListing,
         now: EndpointListing,
     ) {
-        if (before.leaving == now.leaving && before.bornMillis == now.bornMillis && !now.coldLeft.isPositive()) return
+        if (before.leaving == now.leaving && before.startedAtMillis == now.startedAtMillis &&
+            !now.coldLeft.isPositive()
+        ) {
+            return
+        }
         LogEvent.ENDPOINT_LISTED.log(logger) { "endpoint=${now.id} service=${now.service} ${describe(now)}" }
     }
 
@@ -124,7 +128,7 @@
                 ?.services
                 ?.get(listing.service)
                 ?.engine
-                ?.memoryTokens ?: DEFAULT_KV_CACHE_TOKENS
+                ?.kvCacheTokens ?: DEFAULT_KV_CACHE_TOKENS
         endpoint =
             EndpointHandle(
                 EndpointView(
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayFixture.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayFixture.kt
@@ -7,7 +7,7 @@
 import dev.almondhaven.model.FailureDomainId
 import dev.almondhaven.platform.WireSamples
 import dev.almondhaven.traffic.CallerLimits
-import dev.almondhaven.traffic.RouterPlace
+import dev.almondhaven.traffic.NodeSettings
 import dev.almondhaven.traffic.TrafficBounds
 import io.netty.channel.MultiThreadIoEventLoopGroup
 import io.netty.channel.nio.NioIoHandler
@@ -34,7 +34,7 @@
     private val bounds = TrafficBounds(1.seconds, 2.seconds, 5.seconds, retryRatio, retrySlack, 10.seconds, 5.seconds)
     private val gateway =
         Gateway.start(
-            RouterPlace(
+            NodeSettings(
                 "test",
                 FailureDomainId("here"),
                 "127.0.0.1:0",
@@ -47,7 +47,7 @@
 
     init {
         repeat(MAX_READY_CHECKS) {
-            if (!call("${WireSamples.WHOLE_PATH}ready", id = "ready").startsWith("HTTP/1.1 503")) return@repeat
+            if (!call("${WireSamples.UNARY_PATH}ready", id = "ready").startsWith("HTTP/1.1 503")) return@repeat
             TimeUnit.MILLISECONDS.sleep(READY_CHECK_INTERVAL_MILLIS)
         }
         endpoints.forEach { it.requestHeads.clear() }
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayPathTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/GatewayPathTest.kt
@@ -39,8 +39,8 @@
         return GatewayFixture(endpoints, allowsRetries).also { fixture = it } to endpoints
     }
 
-    private val unaryPath = "${WireSamples.WHOLE_PATH}a"
-    private val nonRetryablePath = "${WireSamples.ONCE_PATH}a"
+    private val unaryPath = "${WireSamples.UNARY_PATH}a"
+    private val nonRetryablePath = "${WireSamples.NON_IDEMPOTENT_PATH}a"
     private val streamPath = "${WireSamples.STREAM_PATH}a"
 
     private fun status(response: String) = response.substringBefore("\r\n")
@@ -199,7 +199,7 @@
         fun `that breaks in the middle of an event resumes at another endpoint, with each event once`() {
             val script: (ScriptedEndpoint.ReceivedRequest) -> Unit = {
                 it.begin()
-                if (WireSamples.resumesAfter(it.head).isEmpty()) {
+                if (WireSamples.lastEventId(it.head).isEmpty()) {
                     it.write(chunk(events(1..3) + "id: 4\nda"))
                     TimeUnit.MILLISECONDS.sleep(50)
                     it.socket.close()
@@ -210,7 +210,7 @@
             val (fixture, endpoints) = start(script, script)
             expectThat(decodeChunks(fixture.call(streamPath, "r-1"))).isEqualTo(events(1..6))
             expectThat(
-                endpoints.flatMap { it.requestHeads }.map(WireSamples::resumesAfter).toSet(),
+                endpoints.flatMap { it.requestHeads }.map(WireSamples::lastEventId).toSet(),
             ).isEqualTo(setOf("", "3"))
         }
 
--- a/gateway/src/test/kotlin/dev/almondhaven/gateway/state/RollOutControllerTest.kt
+++ b/gateway/src/test/kotlin/dev/almondhaven/gateway/state/RollOutControllerTest.kt
@@ -21,7 +21,7 @@
     private val announced = ArrayList<SessionAnnouncement>()
     private val rollOuts =
         RollOutController(
-            TrafficBounds(8.seconds, 2.seconds, 5.seconds, 0.9, 50.0, 10.seconds, sessionGap = 5.seconds),
+            TrafficBounds(8.seconds, 2.seconds, 5.seconds, 0.9, 50.0, 10.seconds, sessionIdleTimeout = 5.seconds),
             ScriptedStoreClient(),
             EmbeddedChannel().eventLoop(),
             NanoClock { now },
@@ -53,7 +53,9 @@
     }
 
     private fun startRollOut(): Unit =
-        rollOuts.applyOrder(RollOutOrder(service, "v2", 24.seconds, RollOutState.RUNNING, revision = 1, orderedAt = 1))
+        rollOuts.applyOrder(
+            RollOutOrder(service, "v2", 24.seconds, RollOutState.RUNNING, revision = 1, creationRevision = 1),
+        )
 
     /** A session that is in the trial share from the start of a roll-out. */
     private fun trialSession(): String =
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/EntryStamp.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/ConfigurationTimestamps.kt
@@ -4,28 +4,28 @@
  * This entry with the times filled in that an operator leaves out: [now] (epoch milliseconds) as the start of new
  * roll-outs and as the time of a domain's return. A roll-out that [catalogue] already runs keeps its start.
  */
-public fun ConfigurationEntry.stamped(
+public fun ConfigurationEntry.withTimestamps(
     catalogue: Catalogue,
     now: Long,
 ): ConfigurationEntry =
     when (this) {
-        is ConfigurationEntry.NotePublished -> ConfigurationEntry.NotePublished(note.stamped(catalogue, now))
+        is ConfigurationEntry.NotePublished -> ConfigurationEntry.NotePublished(note.withTimestamps(catalogue, now))
         is ConfigurationEntry.DomainReturned -> if (at == 0L) copy(at = now) else this
         is ConfigurationEntry.DomainTakenOut -> this
     }
 
-private fun ReleaseNote.stamped(
+private fun ReleaseNote.withTimestamps(
     catalogue: Catalogue,
     now: Long,
 ): ReleaseNote {
-    val added = models.added.map { it.stamped(null, now) }
-    val changed = models.changed.map { version -> version.stamped(catalogue.rollOutOf(version), now) }
+    val added = models.added.map { it.withTimestamps(null, now) }
+    val changed = models.changed.map { version -> version.withTimestamps(catalogue.rollOutOf(version), now) }
     return copy(models = models.copy(added = added, changed = changed))
 }
 
 private fun Catalogue.rollOutOf(version: ModelVersion): RollOut? = models.firstOrNull { it.id == version.id }?.rollOut
 
-private fun ModelVersion.stamped(
+private fun ModelVersion.withTimestamps(
     running: RollOut?,
     now: Long,
 ): ModelVersion {
--- a/model/src/main/kotlin/dev/almondhaven/traffic/EndpointListing.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/EndpointListing.kt
@@ -12,7 +12,7 @@
  * @property version of the endpoint's software.
  * @property leaving whether it takes no new requests.
  * @property coldLeft how long it stays cold, counted from the moment it said so.
- * @property bornMillis Unix time of its start; another one under the same id is another endpoint. 0 if not said.
+ * @property startedAtMillis Unix time of its start; another one under the same id is another endpoint. 0 if not said.
  */
 public data class EndpointListing(
     public val id: EndpointId,
@@ -23,5 +23,5 @@
     public val slots: Int,
     public val leaving: Boolean,
     public val coldLeft: Duration,
-    public val bornMillis: Long,
+    public val startedAtMillis: Long,
 )
--- a/model/src/main/kotlin/dev/almondhaven/traffic/KeyHolder.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/KeyOwner.kt
@@ -7,7 +7,7 @@
  *
  * @property priority goes before the priority of the route, 0 first; null where the route's holds.
  */
-public data class KeyHolder(
+public data class KeyOwner(
     public val organisation: OrganisationId,
     public val priority: Int?,
 )
--- a/model/src/main/kotlin/dev/almondhaven/traffic/RouterPlace.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/NodeSettings.kt
@@ -12,7 +12,7 @@
  * @property storeAddress `ip:port` of the platform's store.
  * @property peerAddress `ip:port` on which other routers' datagrams are received.
  */
-public data class RouterPlace(
+public data class NodeSettings(
     public val name: String,
     public val failureDomain: FailureDomainId,
     public val callerAddress: String,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/SizedModel.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/PricedModel.kt
@@ -5,7 +5,7 @@
  *
  * @property cost price of 1,000 generated tokens; a token that is read costs a quarter.
  */
-public data class SizedModel(
+public data class PricedModel(
     public val name: String,
     public val cost: Double,
 )
--- a/model/src/main/kotlin/dev/almondhaven/traffic/CallDemand.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/RequestMetadata.kt
@@ -14,7 +14,7 @@
  * @property promptParts in order; the last one belongs to the request or its session.
  * @property session requests of one session keep their version.
  */
-public data class CallDemand(
+public data class RequestMetadata(
     public val requestId: String,
     public val deadline: Duration?,
     public val key: CallerKey?,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/RollOutOrder.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/RollOutOrder.kt
@@ -9,7 +9,7 @@
  * @property target the version to move to.
  * @property within time the move may take.
  * @property revision of the order in the platform's store, for conditional updates.
- * @property orderedAt revision at which the order came into being; another one is another order.
+ * @property creationRevision revision at which the order came into being; another one is another order.
  */
 public data class RollOutOrder(
     public val service: ServiceId,
@@ -17,5 +17,5 @@
     public val within: Duration,
     public val state: RollOutState,
     public val revision: Long,
-    public val orderedAt: Long,
+    public val creationRevision: Long,
 )
--- a/model/src/main/kotlin/dev/almondhaven/traffic/TrafficConfiguration.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/TrafficConfiguration.kt
@@ -13,7 +13,7 @@
     public val routes: List<TrafficRoute>,
     public val services: Map<ServiceId, ServiceProfile>,
     public val limits: CallerLimits,
-    public val keys: Map<CallerKey, KeyHolder>?,
+    public val keys: Map<CallerKey, KeyOwner>?,
 ) {
     private val byHost =
         routes.groupBy { it.host }.mapValues { (_, them) ->
--- a/model/src/main/kotlin/dev/almondhaven/traffic/TrafficRoute.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/TrafficRoute.kt
@@ -9,10 +9,10 @@
  * @property pathPrefix begins and ends with a slash.
  * @property timeout longest time a caller is kept waiting for the end of its answer.
  * @property latencyObjective time to the answer (of a stream: its first event) that is still on time.
- * @property pauseObjective longest pause between two events of a stream that is still on time.
+ * @property eventGapObjective longest pause between two events of a stream that is still on time.
  * @property priority 0 is the most urgent.
  * @property models names of models that may answer, smallest first; empty where the caller names the model.
- * @property mostAttempts most endpoints that may run one request.
+ * @property maxAttempts most endpoints that may run one request.
  * @property open whether callers need no key.
  * @property resumable whether a stream may go on at another endpoint after its last event.
  */
@@ -24,14 +24,14 @@
     public val services: List<WeightedService>,
     public val timeout: Duration,
     public val latencyObjective: Duration,
-    public val pauseObjective: Duration?,
+    public val eventGapObjective: Duration?,
     public val priority: Int,
     public val models: List<String>,
-    public val mostAttempts: Int,
+    public val maxAttempts: Int,
     public val open: Boolean,
     public val resumable: Boolean,
 ) {
     /** Whether a request may run again after a run that failed or whose outcome is unknown. */
-    public val repeatable: Boolean
+    public val isRetryable: Boolean
         get() = kind == RequestKind.IDEMPOTENT || (kind == RequestKind.STREAMING && resumable)
 }
--- a/store/src/main/kotlin/dev/almondhaven/store/ConfigurationStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ConfigurationStore.kt
@@ -7,7 +7,7 @@
 import dev.almondhaven.catalogue.ConfigurationEntry
 import dev.almondhaven.catalogue.accept
 import dev.almondhaven.catalogue.differences
-import dev.almondhaven.catalogue.stamped
+import dev.almondhaven.catalogue.withTimestamps
 import dev.almondhaven.model.Generation
 import dev.almondhaven.model.NoteId
 import kotlinx.serialization.KSerializer
@@ -145,7 +145,7 @@
             current: VersionedHead?,
             head: ConfigurationHead,
         ): Step {
-            val stamped = entry.stamped(head.catalogue, publisher.acceptedAt)
+            val stamped = entry.withTimestamps(head.catalogue, publisher.acceptedAt)
             val catalogue =
                 head.catalogue.accept(stamped).fold({ return Step.Done(PublishError.Invalid(it).left()) }, { it })
             val record = recordOf(stamped, catalogue.generation, head.latest?.hash.orEmpty())
