--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/capacity/RouterCostExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/capacity/RouterCostExperiment.kt
@@ -132,7 +132,7 @@
         tokens: Int,
     ): HttpRequest {
         val organisation =
-            sample.first.organisations.added
+            sample.initialNote.organisations.added
                 .first()
         val token = SampleDeployment.tokenOf(organisation.id.value)
         val headers =
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Balancer.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Balancer.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The platform's balancer in small: sends to the routers that were ready at the last check. */
+/** Stands in for the platform's load balancer: picks among the routers that passed the last readiness check. */
 public class Balancer : AutoCloseable {
     private val factory = ClientFactory.builder().connectTimeoutMillis(CONNECT_TIMEOUT.inWholeMilliseconds).build()
     private val clients = ConcurrentHashMap<String, WebClient>()
@@ -24,20 +24,20 @@
     @Volatile
     private var stopped = false
 
-    /** Starts checking. */
+    /** Starts the periodic readiness checks. */
     public fun start(): Unit = checker.start()
 
-    /** Routers that may get requests once they are ready. */
+    /** Replaces the routers to check; each becomes eligible for requests once it is ready. */
     public fun setAddresses(addresses: List<String>) {
         this.addresses = addresses
     }
 
-    /** Waits until [count] routers are ready; false when [patience] runs out first. */
+    /** Waits until [count] routers are ready; false when [timeout] elapses first. */
     public fun awaitReady(
         count: Int,
-        patience: Duration,
+        timeout: Duration,
     ): Boolean {
-        val end = System.nanoTime() + patience.inWholeNanoseconds
+        val end = System.nanoTime() + timeout.inWholeNanoseconds
         while (ready.size < count) {
             if (System.nanoTime() - end > 0) return false
             TimeUnit.MILLISECONDS.sleep(CHECK_INTERVAL.inWholeMilliseconds)
@@ -45,10 +45,10 @@
         return true
     }
 
-    /** The address of a ready router, or null. */
+    /** The address of a random ready router, or null if none is ready. */
     public fun pick(random: Random): String? = ready.randomOrNull(random)
 
-    /** The client of the router at [address]. */
+    /** The shared HTTP client of the router at [address]. */
     public fun client(address: String): WebClient =
         clients.computeIfAbsent(address) {
             WebClient
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/CallRecord.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/CallRecord.kt
@@ -2,7 +2,10 @@
 
 import dev.almondhaven.model.Outcome
 
-/** What a caller asked for. */
+/**
+ * The kind of call: a streaming or a whole (non-streaming) model request, an idempotent look-up or a non-idempotent
+ * order on the plain service.
+ */
 public enum class CallKind {
     STREAMED,
     WHOLE,
@@ -12,25 +15,27 @@
 
 /** How a call ended for its caller. */
 public enum class CallEnd {
-    /** The whole answer came. */
+    /** The complete response arrived. */
     ANSWERED,
 
-    /** A numbered error came. */
+    /** An error response with a result code arrived. */
     REFUSED,
 
-    /** The answer came but isn't whole, or isn't the caller's own. */
+    /** A response arrived but is incomplete or belongs to another request. */
     DAMAGED,
 
-    /** The connection broke or the answer timed out. */
+    /** The connection broke or the response timed out. */
     CONNECTION_LOST,
 }
 
 /**
- * One attempt of a caller, as the caller saw it.
+ * One attempt of a call, as the caller observed it.
  *
  * @property key idempotency key of an order; empty otherwise.
- * @property router address of the router that was asked.
- * @property code number of the result code of a refusal.
+ * @property router address of the router that the attempt was sent to.
+ * @property startedAt epoch milliseconds at which the caller sent it.
+ * @property millis duration of the attempt in milliseconds.
+ * @property code result code of a refusal.
  */
 public data class CallRecord(
     public val kind: CallKind,
@@ -47,6 +52,6 @@
     public val session: String = "",
     public val detail: String = "",
 ) {
-    /** Epoch milliseconds at which the caller had the answer. */
+    /** Epoch milliseconds at which the caller had the complete response or the failure. */
     public val endedAt: Long get() = startedAt + millis
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Caller.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Caller.kt
@@ -14,7 +14,8 @@
 import kotlin.random.Random
 
 /**
- * One simulated caller of an organisation: it asks, waits for the answer and judges whether it is whole and its own.
+ * One simulated client of an organisation. It sends a request, waits for the response and checks that the response is
+ * complete and belongs to the request.
  */
 public class Caller(
     private val organisation: Organisation,
@@ -27,12 +28,12 @@
     private var sessionName = ""
     private var turnsLeft = 0
 
-    /** Makes one call, chosen at random: model requests, a look-up or an order. */
+    /** Makes one call of a random kind: a model request, a look-up or an order. */
     public fun callOnce() {
-        when (random.nextInt(MIX)) {
-            in 0 until STREAMED_SHARE -> modelCall(CallKind.STREAMED)
-            in STREAMED_SHARE until WHOLE_SHARE -> modelCall(CallKind.WHOLE)
-            in WHOLE_SHARE until LOOKUP_SHARE -> lookup()
+        when (random.nextInt(CALL_MIX_PERCENT)) {
+            in 0 until STREAMED_END_PERCENT -> modelCall(CallKind.STREAMED)
+            in STREAMED_END_PERCENT until WHOLE_END_PERCENT -> modelCall(CallKind.WHOLE)
+            in WHOLE_END_PERCENT until LOOKUP_END_PERCENT -> lookup()
             else -> order()
         }
     }
@@ -41,12 +42,12 @@
         val address = balancer.pick(random) ?: return
         if (turnsLeft == 0) beginSession()
         val marker = marker()
-        val tokens = random.nextInt(2, MAXIMUM_TOKENS)
+        val tokens = random.nextInt(2, TOKENS_END_EXCLUSIVE)
         val body = ModelRequestText.of(marker, tokens, streamed = kind == CallKind.STREAMED)
         val headers = headers(HttpMethod.POST, "/v1/chat/completions")
         session?.let { headers.set("x-session-token", it) }
         val request = HttpRequest.of(headers.build(), HttpData.ofUtf8(body))
-        val call = send(kind, address, request) { AnswerCheck.problem(kind, it, marker, tokens) }
+        val call = send(kind, address, request) { ResponseCheck.findProblem(kind, it, marker, tokens) }
         turnsLeft--
         record(call.copy(session = sessionName))
     }
@@ -54,7 +55,7 @@
     private fun beginSession() {
         session = null
         sessionName = marker()
-        turnsLeft = random.nextInt(1, LONGEST_SESSION)
+        turnsLeft = random.nextInt(1, SESSION_TURNS_END_EXCLUSIVE)
     }
 
     private fun lookup() {
@@ -65,11 +66,11 @@
 
     private fun order() {
         val key = marker()
-        val twice = random.nextInt(TWICE_ONE_IN) == 0
+        val sendTwice = random.nextInt(DUPLICATE_ONE_IN) == 0
         val first = balancer.pick(random) ?: return
         var attempt = 1
         var last = placeOrder(first, key, attempt)
-        while (attempt < ORDER_ATTEMPTS && (last.end == CallEnd.CONNECTION_LOST || (twice && attempt == 1))) {
+        while (attempt < ORDER_ATTEMPTS && (last.end == CallEnd.CONNECTION_LOST || (sendTwice && attempt == 1))) {
             attempt++
             last = placeOrder(balancer.pick(random) ?: return, key, attempt)
         }
@@ -106,7 +107,7 @@
     ): CallRecord {
         val startedAt = System.currentTimeMillis()
         val started = System.nanoTime()
-        val blank = CallRecord(kind, organisation.id.value, address, startedAt, 0, CallEnd.CONNECTION_LOST)
+        val initialRecord = CallRecord(kind, organisation.id.value, address, startedAt, 0, CallEnd.CONNECTION_LOST)
         return try {
             val response =
                 balancer
@@ -114,25 +115,25 @@
                     .execute(request)
                     .aggregate()
                     .join()
-            judge(blank, response, problem)
+            classify(initialRecord, response, problem)
         } catch (exception: CompletionException) {
-            blank.copy(detail = "${exception.cause}")
+            initialRecord.copy(detail = "${exception.cause}")
         }.copy(millis = (System.nanoTime() - started) / NANOS_PER_MILLI)
     }
 
-    private fun judge(
-        blank: CallRecord,
+    private fun classify(
+        initialRecord: CallRecord,
         response: AggregatedHttpResponse,
         problem: (AggregatedHttpResponse) -> String?,
     ): CallRecord {
-        val known =
-            blank.copy(
+        val identifiedRecord =
+            initialRecord.copy(
                 requestId = response.headers().get("x-request-id").orEmpty(),
                 model = response.headers().get("x-almondhaven-model").orEmpty(),
             )
         val error = errorOf(response)
         if (error != null) {
-            return known.copy(
+            return identifiedRecord.copy(
                 end = CallEnd.REFUSED,
                 code = error.error.code,
                 outcome = error.error.outcome,
@@ -140,13 +141,16 @@
             )
         }
         response.headers().get("x-session-token")?.let { session = it }
-        val damage = problem(response)
-        return known.copy(end = if (damage == null) CallEnd.ANSWERED else CallEnd.DAMAGED, detail = damage.orEmpty())
+        val defect = problem(response)
+        return identifiedRecord.copy(
+            end = if (defect == null) CallEnd.ANSWERED else CallEnd.DAMAGED,
+            detail = defect.orEmpty(),
+        )
     }
 
     private fun errorOf(response: AggregatedHttpResponse): ErrorBody? {
         val text = response.contentUtf8()
-        val json = if (response.status().isSuccess) AnswerCheck.errorEvent(text) else text
+        val json = if (response.status().isSuccess) ResponseCheck.errorEvent(text) else text
         if (json == null) return null
         return try {
             Json.decodeFromString(ErrorBody.serializer(), json)
@@ -158,13 +162,13 @@
     private fun marker(): String = random.nextLong().toULong().toString(MARKER_RADIX)
 
     private companion object {
-        const val MIX = 100
-        const val STREAMED_SHARE = 45
-        const val WHOLE_SHARE = 75
-        const val LOOKUP_SHARE = 88
-        const val MAXIMUM_TOKENS = 24
-        const val LONGEST_SESSION = 6
-        const val TWICE_ONE_IN = 8
+        const val CALL_MIX_PERCENT = 100
+        const val STREAMED_END_PERCENT = 45
+        const val WHOLE_END_PERCENT = 75
+        const val LOOKUP_END_PERCENT = 88
+        const val TOKENS_END_EXCLUSIVE = 24
+        const val SESSION_TURNS_END_EXCLUSIVE = 6
+        const val DUPLICATE_ONE_IN = 8
         const val ORDER_ATTEMPTS = 4
         const val ORDER_TIMEOUT_MILLIS = 5_000
         const val MARKER_RADIX = 36
@@ -172,7 +176,7 @@
     }
 }
 
-/** Paths of a deployment's plain service: one idempotent look-up and one call that must not repeat. */
+/** Paths of a deployment's plain service: an idempotent look-up and a non-idempotent order. */
 public data class ServicePaths(
     public val lookup: String,
     public val order: String,
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentBench.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentBench.kt
@@ -23,7 +23,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A sample deployment on loopback: stand-ins, five routers, a balancer and callers that go on until it is closed. */
+/** A sample deployment on loopback: simulated endpoints, routers, a load balancer and callers. */
 public class DeploymentBench private constructor(
     public val sample: SampleDeployment,
     private val starter: RouterStarter,
@@ -32,35 +32,37 @@
 ) : AutoCloseable {
     private val stored = InMemoryObjectStore()
 
-    /** The platform's object API as the routers see it. */
+    /** The platform's object API, with fault injection, as the routers see it. */
     public val objects: FaultyObjectStore = FaultyObjectStore(stored, seed)
 
-    /** The endpoints. */
-    public val fleet: StandInFleet = StandInFleet.start(sample.first)
+    /** The simulated endpoints. */
+    public val fleet: StandInFleet = StandInFleet.start(sample.initialNote)
 
     private val objectServer = StandInServer.start { ObjectStoreServer(objects).addTo(it) }
     private val settings = RouterSettingsFactory(sample, objectServer.address)
     private val configuration = ConfigurationStore(stored)
     private val balancer = Balancer()
     private val calls = ConcurrentLinkedQueue<CallRecord>()
-    private val units = mutableListOf<RouterUnit>()
+    private val routerInstances = mutableListOf<RouterInstance>()
     private val killed = mutableSetOf<String>()
     private val outages = mutableListOf<DomainOutage>()
     private val withdrawals = mutableListOf<WithdrawnVersion>()
     private var callers = emptyList<Thread>()
 
     @Volatile
-    private var calling = true
+    private var callersActive = true
 
     private fun start() {
-        publish(sample.first)
-        entryDomains.forEach { units += starter.start(settings.create(it)) }
+        publish(sample.initialNote)
+        entryDomains.forEach { routerInstances += starter.start(settings.create(it)) }
         balancer.start()
         refreshBalancer()
-        check(balancer.awaitReady(units.size, READY_PATIENCE)) { "routers of ${sample.name} did not become ready" }
+        check(balancer.awaitReady(routerInstances.size, READY_TIMEOUT)) {
+            "routers of ${sample.name} did not become ready within $READY_TIMEOUT"
+        }
     }
 
-    /** Publishes [note] with the stand-ins' addresses; returns when it was accepted, in epoch milliseconds. */
+    /** Publishes [note] with the simulated endpoints' addresses; returns the epoch milliseconds of its acceptance. */
     public fun publish(note: ReleaseNote): Long {
         accept(ConfigurationEntry.NotePublished(fleet.withAddresses(note)))
         val at = System.currentTimeMillis()
@@ -69,13 +71,13 @@
     }
 
     /** Takes [domain] out of service. */
-    public fun takeOut(domain: FailureDomainId) {
+    public fun takeOutOfService(domain: FailureDomainId) {
         accept(ConfigurationEntry.DomainTakenOut(NoteId("out-$domain-${System.nanoTime()}"), "maintenance", domain))
         outages += DomainOutage(domain, System.currentTimeMillis(), Long.MAX_VALUE)
     }
 
-    /** Brings [domain] back. */
-    public fun bringBack(domain: FailureDomainId) {
+    /** Returns [domain] to service. */
+    public fun returnToService(domain: FailureDomainId) {
         val open = outages.removeAt(outages.indexOfLast { it.domain == domain })
         outages += open.copy(until = System.currentTimeMillis())
         accept(ConfigurationEntry.DomainReturned(NoteId("back-$domain-${System.nanoTime()}"), "maintenance", domain))
@@ -85,26 +87,26 @@
         configuration.publish(entry, publisher()).onLeft { error("${entry.id} was not accepted: $it") }
     }
 
-    /** Publishes both entries at once, each on the head that it read before the other one wrote. */
-    public fun race(
+    /** Publishes both entries concurrently from separate threads; returns for each whether it was accepted. */
+    public fun publishConcurrently(
         first: ConfigurationEntry,
         second: ConfigurationEntry,
     ): List<Boolean> {
         val results = ConcurrentLinkedQueue<Boolean>()
-        val racers =
+        val publishers =
             listOf(first, second).map { entry ->
                 Thread { results += ConfigurationStore(stored).publish(entry, publisher()).isRight() }
             }
-        racers.forEach { it.start() }
-        racers.forEach { it.join() }
+        publishers.forEach { it.start() }
+        publishers.forEach { it.join() }
         return results.toList()
     }
 
     private fun publisher() = Publisher("bench", System.currentTimeMillis(), from = "loopback")
 
-    /** Starts [count] callers, spread over the organisations by their shares. */
+    /** Starts [count] callers, distributed over the organisations in proportion to their shares. */
     public fun startCallers(count: Int) {
-        val organisations = weighted(sample.first.organisations.added)
+        val organisations = repeatedByShare(sample.initialNote.organisations.added)
         callers =
             List(count) { index ->
                 val organisation = organisations[index % organisations.size]
@@ -114,11 +116,11 @@
         callers.forEach { it.start() }
     }
 
-    private fun weighted(organisations: List<Organisation>): List<Organisation> =
+    private fun repeatedByShare(organisations: List<Organisation>): List<Organisation> =
         organisations.flatMap { organisation -> List(organisation.share.toInt()) { organisation } }
 
     private fun callUntilEnd(caller: Caller) {
-        while (calling) {
+        while (callersActive) {
             caller.callOnce()
             TimeUnit.MILLISECONDS.sleep(THINK_TIME.inWholeMilliseconds)
         }
@@ -126,7 +128,7 @@
 
     private fun servicePaths(): ServicePaths {
         val service =
-            sample.first.services.added
+            sample.initialNote.services.added
                 .single()
         val lookup = service.calls.first { it.idempotent }
         val order = service.calls.first { !it.idempotent }
@@ -135,57 +137,57 @@
 
     /** Kills the router at [index] without warning. */
     public fun killRouter(index: Int) {
-        killed += units[index].address
-        units[index].kill()
+        killed += routerInstances[index].address
+        routerInstances[index].kill()
     }
 
-    /** Starts a fresh router in the place of the killed one at [index]. */
+    /** Starts a new router in the failure domain of the stopped one at [index] and takes its place. */
     public fun replaceRouter(index: Int) {
-        units[index] = starter.start(settings.create(units[index].settings.process.failureDomain))
+        routerInstances[index] = starter.start(settings.create(routerInstances[index].settings.process.failureDomain))
         refreshBalancer()
     }
 
-    /** Stops the router at [index] as planned and starts a fresh one in its place. */
+    /** Shuts the router at [index] down gracefully and starts a new one in its place. */
     public fun restartRouter(index: Int) {
-        units[index].stop()
+        routerInstances[index].stop()
         replaceRouter(index)
     }
 
-    /** Addresses of the routers for callers. */
-    public fun addresses(): List<String> = units.map { it.address }
+    /** Addresses at which the routers accept requests of callers. */
+    public fun addresses(): List<String> = routerInstances.map { it.address }
 
     /** The routers' processes. */
-    public fun processes(): List<ProcessHandle> = units.map { it.process }
+    public fun processes(): List<ProcessHandle> = routerInstances.map { it.process }
 
-    /** Lets the engine at [index] restart with an empty cache, as nobody announced. */
+    /** Restarts the engine at [index] with an empty cache and without notice. */
     public fun restartEngineCold(index: Int): Unit = engine(index).restart()
 
-    /** Lets the engine at [index] take requests and never answer. */
-    public fun silenceEngine(index: Int) {
+    /** Makes the engine at [index] accept requests without ever responding. */
+    public fun hangEngine(index: Int) {
         engine(index).behaviour = StandInFleet.BEHAVIOUR.copy(fault = EngineFault.SILENT)
     }
 
-    /** Lets the engine at [index] answer again. */
-    public fun healEngine(index: Int) {
+    /** Makes the engine at [index] respond again. */
+    public fun recoverEngine(index: Int) {
         engine(index).behaviour = StandInFleet.BEHAVIOUR
     }
 
-    /** Lets every engine answer requests for [version] with errors. */
-    public fun spoilVersion(version: ModelVersionId): Unit =
+    /** Makes every engine respond to requests for [version] with errors. */
+    public fun failVersion(version: ModelVersionId): Unit =
         fleet.engines.values.forEach { it.badVersions = setOf(version) }
 
-    /** Ends what [spoilVersion] began. */
-    public fun healVersions(): Unit = fleet.engines.values.forEach { it.badVersions = emptySet() }
+    /** Reverts [failVersion]. */
+    public fun recoverVersions(): Unit = fleet.engines.values.forEach { it.badVersions = emptySet() }
 
     private fun engine(index: Int): EngineStandIn = fleet.engines.values.toList()[index]
 
-    private fun refreshBalancer(): Unit = balancer.setAddresses(units.map { it.address })
+    private fun refreshBalancer(): Unit = balancer.setAddresses(routerInstances.map { it.address })
 
-    /** Ends the callers, waits for billing and returns everything that was seen. */
+    /** Stops the callers, waits until the routers have written their billing records, and collects the observations. */
     public fun finish(): Observations {
-        calling = false
-        callers.forEach { it.join(CALLER_PATIENCE.inWholeMilliseconds) }
-        TimeUnit.MILLISECONDS.sleep(BILLING_PATIENCE.inWholeMilliseconds)
+        callersActive = false
+        callers.forEach { it.join(CALLER_JOIN_TIMEOUT.inWholeMilliseconds) }
+        TimeUnit.MILLISECONDS.sleep(BILLING_FLUSH_WAIT.inWholeMilliseconds)
         return Observations(
             calls.toList(),
             fleet.engines.flatMap { (id, engine) -> engine.records.map { ObservedRun(id, it) } },
@@ -206,17 +208,17 @@
     }
 
     override fun close() {
-        calling = false
-        units.map { unit -> Thread { unit.stop() }.apply { start() } }.forEach { it.join() }
+        callersActive = false
+        routerInstances.map { unit -> Thread { unit.stop() }.apply { start() } }.forEach { it.join() }
         balancer.close()
         fleet.close()
         objectServer.close()
     }
 
     public companion object {
-        private val READY_PATIENCE = 60.seconds
-        private val CALLER_PATIENCE = 60.seconds
-        private val BILLING_PATIENCE: Duration = 12.seconds
+        private val READY_TIMEOUT = 60.seconds
+        private val CALLER_JOIN_TIMEOUT = 60.seconds
+        private val BILLING_FLUSH_WAIT: Duration = 12.seconds
         private val THINK_TIME = 20.milliseconds
 
         /** Starts [sample] with routers from [starter] and waits until they are ready. */
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentRun.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentRun.kt
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration
 
-/** What a run showed. */
+/** Observations of a run and the results of the invariant checks. */
 public class DeploymentResult(
     public val observations: Observations,
     public val findings: List<Finding>,
@@ -17,7 +17,7 @@
     private val callers: Int,
     private val seed: Long,
 ) {
-    /** Runs the script from its start to its end and judges what was seen. */
+    /** Runs the whole script under load and checks the invariants. */
     public fun execute(): DeploymentResult =
         DeploymentBench.start(sample, starter, seed).use { bench ->
             bench.startCallers(callers)
@@ -28,7 +28,7 @@
             }
             sleepUntil(start, script.length)
             val observations = bench.finish()
-            DeploymentResult(observations, Verdict.of(observations))
+            DeploymentResult(observations, InvariantChecker.check(observations))
         }
 
     private fun sleepUntil(
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentsExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentsExperiment.kt
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.Executors
 
-/** Both users' deployments as real router processes on loopback, under load and every fault of the brief. */
+/** Runs both sample deployments as real router processes on loopback, under load and [FaultScripts.FULL]. */
 public class DeploymentsExperiment : Experiment {
     override val name: String = "deployments"
     override val about: String = "Both sample deployments, five router processes each, through a script of faults."
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/FaultScript.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/FaultScript.kt
@@ -2,7 +2,7 @@
 
 import kotlin.time.Duration
 
-/** A fault, or its repair, at a moment of a run. */
+/** An injected fault, or its repair, at an offset from the start of a run. */
 public class FaultStep(
     public val at: Duration,
     public val name: String,
@@ -10,7 +10,7 @@
 )
 
 /**
- * What goes wrong in a run and when.
+ * The faults that are injected into a run, in order of time.
  *
  * ```
  * faultScript(length = 60.seconds) { at(5.seconds, "router 1 is killed") { it.killRouter(1) } }
@@ -20,19 +20,19 @@
     public val length: Duration,
     public val steps: List<FaultStep>,
 ) {
-    /** Collects steps in any order. */
+    /** Collects steps, which may be added in any order. */
     public class Builder internal constructor(
         private val length: Duration,
     ) {
         private val steps = mutableListOf<FaultStep>()
 
-        /** Adds a step [at] a moment after the start. */
+        /** Adds a step that runs [at] this offset from the start. */
         public fun at(
             at: Duration,
             name: String,
             action: (DeploymentBench) -> Unit,
         ) {
-            require(at <= length) { "'$name' at $at is behind the end at $length" }
+            require(at <= length) { "'$name' at $at is after the end of the script at $length" }
             steps += FaultStep(at, name, action)
         }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/** Builds a [FaultScript] of [length]. */
+/** Builds a [FaultScript] that lasts for [length]. */
 public fun faultScript(
     length: Duration,
     configure: FaultScript.Builder.() -> Unit,
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/FaultScripts.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/FaultScripts.kt
@@ -6,12 +6,12 @@
 import dev.almondhaven.store.ObjectStoreFaults
 import kotlin.time.Duration.Companion.seconds
 
-/** The scripts of faults that the deployments go through. */
+/** Fault scripts for runs of the sample deployments. */
 public object FaultScripts {
     private const val LOST_ANSWERS = 0.05
     private const val LOST_ANSWERS_AFTER_OUTAGE = 0.1
 
-    /** Every fault of the brief once, some together. */
+    /** Every fault that the routers must survive, each at least once and some of them overlapping. */
     public val FULL: FaultScript =
         faultScript(length = 64.seconds) {
             at(0.seconds, "the object API loses 5% of answers") {
@@ -23,31 +23,31 @@
             at(13.seconds, "router 2 is killed during the outage") { it.killRouter(2) }
             at(17.seconds, "router 2 is replaced during the outage") { it.replaceRouter(2) }
             at(20.seconds, "an engine restarts cold") { it.restartEngineCold(0) }
-            at(24.seconds, "an engine's connections go silent") { it.silenceEngine(1) }
-            at(28.seconds, "the silent engine answers again") { it.healEngine(1) }
+            at(24.seconds, "an engine's connections go silent") { it.hangEngine(1) }
+            at(28.seconds, "the silent engine answers again") { it.recoverEngine(1) }
             at(40.seconds, "the object API is back and loses 10% of answers") {
                 it.objects.outage = false
                 it.objects.faults = ObjectStoreFaults(lostAnswers = LOST_ANSWERS_AFTER_OUTAGE)
             }
-            at(42.seconds, "a failure domain is taken out") { it.takeOut(it.sample.failureDomains[1]) }
+            at(42.seconds, "a failure domain is taken out") { it.takeOutOfService(it.sample.failureDomains[1]) }
             at(44.seconds, "two operators race") { raceOperators(it) }
-            at(46.seconds, "a roll-out begins") { it.publish(it.sample.rollOut) }
+            at(46.seconds, "a roll-out begins") { it.publish(it.sample.rollOutNote) }
             at(49.seconds, "the new version turns bad") {
-                it.spoilVersion(
-                    it.sample.rollOut.models.added
+                it.failVersion(
+                    it.sample.rollOutNote.models.added
                         .single()
                         .id,
                 )
             }
-            at(53.seconds, "the failure domain is back") { it.bringBack(it.sample.failureDomains[1]) }
+            at(53.seconds, "the failure domain is back") { it.returnToService(it.sample.failureDomains[1]) }
             at(56.seconds, "the new version is good again and the old one is withdrawn") {
-                it.healVersions()
-                it.publish(it.sample.withdrawal)
+                it.recoverVersions()
+                it.publish(it.sample.withdrawalNote)
             }
             at(60.seconds, "router 3 is restarted as planned") { it.restartRouter(3) }
         }
 
-    /** A short form for the tests. */
+    /** A shorter script for the tests. It kills no router, since an in-process router can only be stopped. */
     public val SHORT: FaultScript =
         faultScript(length = 8.seconds) {
             at(0.seconds, "the object API loses 10% of answers") {
@@ -65,7 +65,7 @@
             listOf("one", "two").map { name ->
                 ConfigurationEntry.NotePublished(ReleaseNote(NoteId("race-$name"), "operators race"))
             }
-        val accepted = bench.race(notes.first(), notes.last()).count { it }
+        val accepted = bench.publishConcurrently(notes.first(), notes.last()).count { it }
         check(accepted in 1..2) { "$accepted of two racing operators were accepted" }
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/InProcessRouter.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/InProcessRouter.kt
@@ -3,11 +3,11 @@
 import dev.almondhaven.router.Router
 import dev.almondhaven.router.settings.RouterSettings
 
-/** A router in this process, for the short form in the tests. It can't be killed, only stopped. */
+/** A router in this process, for the tests. [kill] shuts it down gracefully, since it can't be killed on its own. */
 public class InProcessRouter private constructor(
     override val settings: RouterSettings,
     private val router: Router,
-) : RouterUnit {
+) : RouterInstance {
     override val process: ProcessHandle get() = ProcessHandle.current()
 
     override fun kill(): Unit = stop()
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Verdict.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/InvariantChecker.kt
@@ -6,7 +6,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A promise and what spoke against it; [violations] is empty when it held. */
+/** The result of checking one invariant; [violations] lists the counterexamples and is empty when it held. */
 public data class Finding(
     public val promise: String,
     public val violations: List<String>,
@@ -14,8 +14,8 @@
     public val held: Boolean get() = violations.isEmpty()
 }
 
-/** Compares what callers were told with what endpoints ran and what was billed. */
-public class Verdict private constructor(
+/** Checks invariants by comparing the responses to callers with the runs on endpoints and the billing records. */
+public class InvariantChecker private constructor(
     private val seen: Observations,
 ) {
     private val orderRuns = seen.serviceRuns.map { it.record }.filter { it.requestId.isNotEmpty() }
@@ -28,7 +28,10 @@
             Finding("a non-idempotent request runs at most once", doubleOrders()),
             Finding("a refusal that says not run is true", falseRefusals()),
             Finding("an answered order has run", answeredWithoutRun()),
-            Finding("each answered request is billed", unbilled().map { "${it.kind} ${it.requestId} of ${it.router}" }),
+            Finding(
+                "each answered request is billed",
+                unbilledCalls().map { "${it.kind} ${it.requestId} of ${it.router}" },
+            ),
             Finding("each request is billed once", billedTwice()),
             Finding("a request runs only on what its organisation is allowed", disallowedRuns()),
             Finding("a withdrawn version gets no new work after $BOUND", withdrawnRuns()),
@@ -41,7 +44,10 @@
     private fun doubleOrders(): List<String> =
         runsByKey.filterValues { it.size > 1 }.map { (key, runs) -> "$key ran ${runs.size} times" }
 
-    /** Attempts under a key follow each other, so a run after a refusal is another attempt's, if there was another. */
+    /**
+     * Orders that were refused as not run but did run. Attempts under one idempotency key are sequential, so a run
+     * that arrives after a refusal belongs to a later attempt, unless the refused attempt was the last one.
+     */
     private fun falseRefusals(): List<String> =
         ordersByKey.flatMap { (key, calls) ->
             val runs = runsByKey[key].orEmpty()
@@ -57,7 +63,7 @@
             .keys
             .filter { it !in runsByKey }
 
-    private fun unbilled(): List<CallRecord> {
+    private fun unbilledCalls(): List<CallRecord> {
         val billed = seen.bills.map { it.requestId }.toSet()
         return answered().filter { it.requestId !in billed }
     }
@@ -126,13 +132,17 @@
     }
 
     public companion object {
-        /** How soon a withdrawal or take-out has to be in force everywhere. */
+        /** Time within which a withdrawal or a domain outage must take effect on every router. */
         public val BOUND: Duration = 5.seconds
 
-        /** Judges [observations]. */
-        public fun of(observations: Observations): List<Finding> = Verdict(observations).findings()
+        /** Checks every invariant against [observations]. */
+        public fun check(observations: Observations): List<Finding> = InvariantChecker(observations).findings()
 
-        /** Answered calls of [observations] that nobody was billed for. */
-        public fun unbilled(observations: Observations): List<CallRecord> = Verdict(observations).unbilled()
+        /**
+         * Answered calls of [observations] without a billing record. Orders with more than one attempt under the same
+         * idempotency key are left out.
+         */
+        public fun unbilledCalls(observations: Observations): List<CallRecord> =
+            InvariantChecker(observations).unbilledCalls()
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Observations.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Observations.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.model.ModelVersionId
 import dev.almondhaven.standins.EngineRecord
 
-/** A span of epoch milliseconds in which a failure domain was out of service. */
+/** A period, in epoch milliseconds, in which a failure domain was out of service. */
 public data class DomainOutage(
     public val domain: FailureDomainId,
     public val from: Long,
@@ -19,23 +19,23 @@
     public val at: Long,
 )
 
-/** A run that an endpoint's own record shows. */
+/** A request run, as recorded by the simulated endpoint itself. */
 public data class ObservedRun(
     public val endpoint: EndpointId,
     public val record: EngineRecord,
 )
 
-/** A bill as the platform holds it. */
+/** A billing record stored on the platform. */
 public data class ObservedBill(
     public val requestId: String,
     public val organisation: String,
 )
 
 /**
- * Everything that was seen in a run of a deployment, from the callers, the stand-ins' own records and the platform.
+ * Everything observed in a run of a deployment, from the callers, the simulated endpoints' records and the platform.
  *
- * @property killed addresses of routers that were stopped without warning.
- * @property catalogue the configuration at the end.
+ * @property killed addresses of the routers that were killed without a graceful shutdown.
+ * @property catalogue the configuration at the end of the run.
  */
 public class Observations(
     public val calls: List<CallRecord>,
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/ProcessRouter.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/ProcessRouter.kt
@@ -5,11 +5,11 @@
 import java.io.File
 import java.util.concurrent.TimeUnit
 
-/** A router in a JVM of its own, started with the settings file that the binary reads. */
+/** A router in a separate JVM, started with a settings file in the format that the router binary reads. */
 public class ProcessRouter private constructor(
     override val settings: RouterSettings,
     private val child: Process,
-) : RouterUnit {
+) : RouterInstance {
     override val process: ProcessHandle get() = child.toHandle()
 
     override fun kill() {
@@ -25,7 +25,7 @@
         private const val STOP_SECONDS = 40L
         private const val HEAP = "-Xmx192m"
 
-        /** Starts processes whose settings and logs stand in [directory]. */
+        /** Starts router processes whose settings files and logs are written to [directory]. */
         public fun starter(directory: File): RouterStarter =
             RouterStarter { settings ->
                 directory.mkdirs()
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/AnswerCheck.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/ResponseCheck.kt
@@ -2,14 +2,14 @@
 
 import com.linecorp.armeria.common.AggregatedHttpResponse
 
-/** Judges whether an answer of the engine stand-in is whole and belongs to the request. */
-internal object AnswerCheck {
+/** Checks that a response of the simulated engine is complete and belongs to its request. */
+internal object ResponseCheck {
     private val tokenPattern = Regex("token(\\d+) ")
     private const val ERROR_EVENT = "event: error\ndata: "
     private const val DONE_EVENT = "data: [DONE]"
 
-    /** What is wrong with [response] to a request for [tokens] tokens marked with [marker], or null. */
-    fun problem(
+    /** Describes the defect in [response] to a request for [tokens] tokens with [marker]; null if there is none. */
+    fun findProblem(
         kind: CallKind,
         response: AggregatedHttpResponse,
         marker: String,
@@ -25,12 +25,12 @@
         }
     }
 
-    /** The JSON of the error event that ends [stream], or null. */
+    /** The JSON of the error event in the server-sent event [stream], or null if there is none. */
     fun errorEvent(stream: String): String? =
         stream.substringAfter(ERROR_EVENT, "").substringBefore('\n').ifEmpty { null }
 }
 
-/** Bodies of model requests. */
+/** Builds JSON bodies of model requests. */
 internal object ModelRequestText {
     /** A chat request for [tokens] tokens, marked with [marker] in the `user` field, which engines echo. */
     fun of(
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/RouterUnit.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/RouterInstance.kt
@@ -2,25 +2,25 @@
 
 import dev.almondhaven.router.settings.RouterSettings
 
-/** A router under test, in a process of its own or in this one. */
-public interface RouterUnit {
+/** A router under test, in a separate process or in this one. */
+public interface RouterInstance {
     /** Settings it runs with. */
     public val settings: RouterSettings
 
-    /** `ip:port` for callers. */
+    /** The `ip:port` at which it accepts requests of callers. */
     public val address: String get() = settings.process.listen
 
     /** The process that it runs in. */
     public val process: ProcessHandle
 
-    /** Stops it without any warning, as a failing VM does. */
+    /** Kills it without a graceful shutdown, as when its VM fails. */
     public fun kill()
 
-    /** Stops it as a planned stop does, and waits for it. */
+    /** Shuts it down gracefully and waits until it has ended. */
     public fun stop()
 }
 
 /** Starts routers. */
 public fun interface RouterStarter {
-    public fun start(settings: RouterSettings): RouterUnit
+    public fun start(settings: RouterSettings): RouterInstance
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/RouterSettingsFactory.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/RouterSettingsFactory.kt
@@ -12,14 +12,14 @@
 import java.net.ServerSocket
 import java.net.URI
 
-/** Makes settings for the routers of one deployment, each on free ports of loopback. */
+/** Creates settings for the routers of one deployment, each on free loopback ports. */
 internal class RouterSettingsFactory(
     private val sample: SampleDeployment,
     private val platform: URI,
 ) {
     private val peerAddresses = mutableListOf<String>()
 
-    /** Settings of a fresh router in [domain], which knows the routers created before it as seeds. */
+    /** Settings of a new router in [domain] whose gossip seeds are all routers created before it. */
     fun create(domain: FailureDomainId): RouterSettings {
         val peerAddress = freeAddress()
         val settings =
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/SampleDeployment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/SampleDeployment.kt
@@ -5,24 +5,24 @@
 import dev.almondhaven.settings.YamlDocument
 import java.io.File
 
-/** One of the users' deployments, as the files under `examples/` describe it. */
+/** A sample deployment, as defined by the release notes under `examples/`. */
 public class SampleDeployment private constructor(
     public val name: String,
     private val directory: File,
 ) {
-    /** The note that configures everything. */
-    public val first: ReleaseNote = read("note.yaml")
+    /** The release note with the initial configuration. */
+    public val initialNote: ReleaseNote = read("note.yaml")
 
-    /** The note that begins a roll-out. */
-    public val rollOut: ReleaseNote = read("roll-out.yaml")
+    /** The release note that starts the roll-out of a new model version. */
+    public val rollOutNote: ReleaseNote = read("roll-out.yaml")
 
-    /** The note that withdraws the predecessor of the rolled-out version. */
-    public val withdrawal: ReleaseNote = read("withdrawal.yaml")
+    /** The release note that withdraws the predecessor of the rolled-out version. */
+    public val withdrawalNote: ReleaseNote = read("withdrawal.yaml")
 
-    /** Failure domains in the order of the note. */
-    public val failureDomains: List<FailureDomainId> = first.failureDomains.added.map { it.id }
+    /** Failure domains in the order of the initial release note. */
+    public val failureDomains: List<FailureDomainId> = initialNote.failureDomains.added.map { it.id }
 
-    /** The failure domain of each entry VM: five VMs, so that one domain has two. */
+    /** The failure domain of each router VM: one per domain and a second one in the first domain, five in all. */
     public val entryDomains: List<FailureDomainId> = failureDomains + failureDomains.first()
 
     private fun read(file: String): ReleaseNote =
@@ -31,11 +31,11 @@
             .fold({ error("${directory.name}/$file: $it") }, { it })
 
     public companion object {
-        /** The deployments of both users, from the directory [examples]. */
+        /** Reads both sample deployments from the directory [examples]. */
         public fun all(examples: File): List<SampleDeployment> =
             listOf("pennant", "association").map { SampleDeployment(it, File(examples, it)) }
 
-        /** The sample token of an organisation. */
+        /** The bearer token of an organisation in the sample deployments. */
         public fun tokenOf(organisation: String): String = "$organisation-token"
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/StandInFleet.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/StandInFleet.kt
@@ -10,19 +10,19 @@
 import dev.almondhaven.standins.StandInServer
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A stand-in for every endpoint of a deployment, each on a free port of loopback. */
+/** Simulated endpoints for a whole deployment, each on a free loopback port. */
 public class StandInFleet private constructor() : AutoCloseable {
     private val engineStandIns = LinkedHashMap<EndpointId, EngineStandIn>()
     private val serviceStandIns = LinkedHashMap<EndpointId, ServiceStandIn>()
     private val servers = LinkedHashMap<EndpointId, StandInServer>()
 
-    /** Engines by endpoint. */
+    /** Simulated model engines by endpoint. */
     public val engines: Map<EndpointId, EngineStandIn> get() = engineStandIns
 
-    /** Plain services by endpoint. */
+    /** Simulated plain services by endpoint. */
     public val services: Map<EndpointId, ServiceStandIn> get() = serviceStandIns
 
-    /** [note] with the addresses at which the stand-ins listen. */
+    /** A copy of [note] with the addresses at which the simulated endpoints listen. */
     public fun withAddresses(note: ReleaseNote): ReleaseNote =
         note.copy(
             endpoints =
@@ -55,11 +55,11 @@
     override fun close(): Unit = servers.values.forEach { it.close() }
 
     public companion object {
-        /** How the engines behave when nothing is wrong. */
+        /** Latencies of the engines without faults. */
         public val BEHAVIOUR: EngineBehaviour =
             EngineBehaviour(timeToFirstToken = 20.milliseconds, betweenTokens = 4.milliseconds)
 
-        /** Starts a stand-in for every endpoint that [note] adds. */
+        /** Starts a simulated endpoint for every endpoint that [note] adds. */
         public fun start(note: ReleaseNote): StandInFleet =
             StandInFleet().apply { note.endpoints.added.forEach { add(it) } }
     }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/UnbilledCalls.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/UnbilledCalls.kt
@@ -1,11 +1,11 @@
 package dev.almondhaven.experiments.deployment
 
 /**
- * Calls that one router answered and that the platform holds no bill of.
+ * Calls that one router answered and for which the platform stores no billing record.
  *
- * @property killed whether the router was stopped without warning.
- * @property firstSecond seconds from the run's first call to the end of the earliest of them.
- * @property lastSecond the same for the latest of them.
+ * @property killed whether the router was killed without a graceful shutdown.
+ * @property firstSecond seconds from the start of the run's first call to the end of the earliest unbilled call.
+ * @property lastSecond the same for the latest unbilled call.
  */
 public data class UnbilledCalls(
     public val router: String,
@@ -20,7 +20,7 @@
         /** The unbilled calls of [observations], one entry for each router that has any. */
         public fun of(observations: Observations): List<UnbilledCalls> {
             val start = observations.calls.minOfOrNull { it.startedAt } ?: return emptyList()
-            return Verdict.unbilled(observations).groupBy { it.router }.map { (router, calls) ->
+            return InvariantChecker.unbilledCalls(observations).groupBy { it.router }.map { (router, calls) ->
                 val seconds = calls.map { (it.endedAt - start) / MILLIS_PER_SECOND }
                 UnbilledCalls(router, router in observations.killed, calls.size, seconds.min(), seconds.max())
             }
