--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ChoicePolicy.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ChoicePolicy.kt
@@ -17,51 +17,54 @@
 import org.apache.commons.rng.UniformRandomProvider
 import kotlin.time.Duration
 
-/** How a simulated router chooses endpoints. */
-internal interface ChoicePolicy {
-    /** Endpoints whose reports the policy wants. */
+/** The way a simulated router chooses the endpoint of a request. */
+internal interface EndpointChoicePolicy {
+    /** Endpoints whose load reports the router polls. */
     val watched: List<EndpointId>
 
-    /** The endpoint for a request, or null when it has to wait. */
+    /** Chooses the endpoint for a request with affinity [key], or null when the request has to wait. */
     fun choose(
         key: Long,
         now: Long,
     ): EndpointId?
 
-    fun ended(
+    /** Records that a request on [endpoint] ended; [firstToken] is its time to first token. */
+    fun recordEnd(
         endpoint: EndpointId,
         firstToken: Duration,
         now: Long,
     )
 
-    fun report(
+    /** Accepts a load report that [endpoint] took at [takenAt]. */
+    fun acceptReport(
         endpoint: EndpointId,
         report: LoadReport,
         takenAt: Long,
     )
 
-    /** Notes that the connections to [endpoint] closed. */
-    fun connectionLost(
+    /** Records that the connections to [endpoint] closed. */
+    fun recordConnectionLost(
         endpoint: EndpointId,
         now: Long,
     )
 
+    /** Updates the limits periodically. */
     fun tick(now: Long)
 
-    /** Sets which endpoints are in service. */
-    fun inService(endpoints: List<Endpoint>)
+    /** Replaces the set of endpoints that are in service. */
+    fun setInService(endpoints: List<Endpoint>)
 }
 
-/** The router's own decisions. */
+/** Chooses with the router's production code: subsetting, concurrency limits, slow start and outlier ejection. */
 internal class RouterPolicy(
     private val self: Member,
     private val sharers: List<EndpointSharers>,
     private val random: UniformRandomProvider,
-    private val ramp: SlowStart,
+    private val slowStart: SlowStart,
     private val chooser: EndpointChooser = EndpointChooser(),
-) : ChoicePolicy {
+) : EndpointChoicePolicy {
     private val subset = EndpointSubsetting()
-    private val group = EjectionGroup()
+    private val ejectionGroup = EjectionGroup()
     private val routersOf = sharers.associate { it.endpoint.id to it.routers }
     private val limiters = HashMap<EndpointId, EndpointLimiter>()
     private var pool = EndpointPool.EMPTY
@@ -69,7 +72,7 @@
         private set
 
     init {
-        inService(sharers.map { it.endpoint })
+        setInService(sharers.map { it.endpoint })
     }
 
     override fun choose(
@@ -80,7 +83,7 @@
         return (choice as? EndpointChoice.Chosen)?.state?.endpoint?.id
     }
 
-    override fun ended(
+    override fun recordEnd(
         endpoint: EndpointId,
         firstToken: Duration,
         now: Long,
@@ -90,7 +93,7 @@
         limiter.recordSuccess(firstToken, now)
     }
 
-    override fun report(
+    override fun acceptReport(
         endpoint: EndpointId,
         report: LoadReport,
         takenAt: Long,
@@ -100,7 +103,7 @@
         limiter.update(takenAt, routersOf.getValue(endpoint))
     }
 
-    override fun connectionLost(
+    override fun recordConnectionLost(
         endpoint: EndpointId,
         now: Long,
     ) {
@@ -114,7 +117,7 @@
         pool.updateAverageOtherRequests()
     }
 
-    override fun inService(endpoints: List<Endpoint>) {
+    override fun setInService(endpoints: List<Endpoint>) {
         val (own, others) = endpoints.partition { it.failureDomain == self.failureDomain }
         pool =
             EndpointPool(
@@ -125,15 +128,18 @@
     }
 
     private fun stateOf(endpoint: Endpoint): EndpointState =
-        limiters.getOrPut(endpoint.id) { EndpointLimiter(EndpointState(endpoint, group), self.id, ramp) }.state
+        limiters
+            .getOrPut(endpoint.id) {
+                EndpointLimiter(EndpointState(endpoint, ejectionGroup), self.id, slowStart)
+            }.state
 }
 
-/** Baselines that look at nothing but their own counters or the latest report. */
+/** Baselines that use only a local counter, a random number or the latest load reports. */
 internal class BaselinePolicy(
     private val kind: Kind,
     endpoints: List<Endpoint>,
     private val random: UniformRandomProvider,
-) : ChoicePolicy {
+) : EndpointChoicePolicy {
     enum class Kind { ROUND_ROBIN, RANDOM, LEAST_REPORTED }
 
     private var candidates = endpoints.map { it.id }
@@ -152,13 +158,13 @@
             Kind.LEAST_REPORTED -> candidates.minBy { reported[it] ?: 0 }
         }
 
-    override fun ended(
+    override fun recordEnd(
         endpoint: EndpointId,
         firstToken: Duration,
         now: Long,
     ): Unit = Unit
 
-    override fun report(
+    override fun acceptReport(
         endpoint: EndpointId,
         report: LoadReport,
         takenAt: Long,
@@ -166,14 +172,14 @@
         reported[endpoint] = report.running + report.waiting
     }
 
-    override fun connectionLost(
+    override fun recordConnectionLost(
         endpoint: EndpointId,
         now: Long,
     ): Unit = Unit
 
     override fun tick(now: Long): Unit = Unit
 
-    override fun inService(endpoints: List<Endpoint>) {
+    override fun setInService(endpoints: List<Endpoint>) {
         candidates = endpoints.map { it.id }
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/OverloadExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/OverloadExperiment.kt
@@ -13,76 +13,77 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Goodput and fairness of the waiting queue under overload, against one unbounded queue in order of arrival. */
+/** Compares goodput and fairness of the admission queue under overload with those of one unbounded FIFO queue. */
 public class OverloadExperiment : Experiment {
     override val name: String get() = "overload"
 
     override val about: String get() = "Goodput and fairness of the waiting queue from 0.5 to 5 times the capacity."
 
-    private class Load(
+    private class QueueSimulation(
         val offered: Double,
         val fair: Boolean,
     ) {
         private val loop = VirtualTimeLoop()
         private val random = RandomSource.SPLIT_MIX_64.create(1L)
         private val queue = FairQueue<Long>()
-        private val inOrder = ArrayDeque<QueuedRequest<Long>>()
+        private val fifoQueue = ArrayDeque<QueuedRequest<Long>>()
         private var running = 0
-        val good = IntArray(ORGANISATIONS)
+        val answeredInTime = IntArray(ORGANISATIONS)
         val arrivals = IntArray(ORGANISATIONS)
         var refused = 0
             private set
         var late = 0
             private set
 
-        fun run(): Load {
+        fun run(): QueueSimulation {
             loop.after(Duration.ZERO) { arrive() }
-            if (fair) loop.every(TICK) { queue.expired(loop.now).forEach { _ -> refused++ } }
-            loop.runUntil(LENGTH)
+            if (fair) loop.every(EXPIRY_INTERVAL) { queue.expired(loop.now).forEach { _ -> refused++ } }
+            loop.runUntil(SIMULATED_TIME)
             return this
         }
 
         private fun arrive() {
-            // Two of ten organisations send eight tenths of everything.
-            val large = random.nextDouble() < LARGE_SHARE
+            // Two of the ten organisations send 80% of the requests.
+            val large = random.nextDouble() < LARGE_ORGANISATIONS_SHARE
             val organisation = if (large) random.nextInt(2) else 2 + random.nextInt(ORGANISATIONS - 2)
             arrivals[organisation]++
-            val latestStart = loop.now + (DEADLINE - RUN).inWholeNanoseconds
+            val latestStart = loop.now + (DEADLINE - SERVICE_TIME).inWholeNanoseconds
             val id = OrganisationId("$organisation")
             val request = QueuedRequest(loop.now, id, 1.0, 1.0, latestStart)
             if (!fair) {
-                inOrder += request
+                fifoQueue += request
             } else if (queue.offer(request, loop.now) is EnqueueResult.Refused) {
                 refused++
             }
             serve()
-            loop.after((-ln(1 - random.nextDouble()) / (offered * CAPACITY)).seconds) { arrive() }
+            loop.after((-ln(1 - random.nextDouble()) / (offered * CAPACITY_PER_SECOND)).seconds) { arrive() }
         }
 
         private fun serve() {
             while (running < SLOTS) {
-                val next = (if (fair) queue.poll(loop.now) else inOrder.removeFirstOrNull()) ?: return
+                val next = (if (fair) queue.poll(loop.now) else fifoQueue.removeFirstOrNull()) ?: return
                 running++
-                loop.after(RUN) { end(next) }
+                loop.after(SERVICE_TIME) { end(next) }
             }
         }
 
         private fun end(request: QueuedRequest<Long>) {
             running--
             val inTime = loop.now - request.value <= DEADLINE.inWholeNanoseconds
-            if (inTime) good[request.organisation.value.toInt()]++ else late++
+            if (inTime) answeredInTime[request.organisation.value.toInt()]++ else late++
             serve()
         }
     }
 
     override fun run(report: ExperimentReport) {
         report.text(
-            "$SLOTS slots, $RUN each, deadline $DEADLINE, ten organisations with equal shares of which two send " +
-                "eight tenths of the requests; $LENGTH of virtual time, seed 1. Goodput counts answers within the deadline.",
+            "$SLOTS slots, $SERVICE_TIME each, deadline $DEADLINE, ten organisations with equal shares of which two " +
+                "send eight tenths of the requests; $SIMULATED_TIME of virtual time, seed 1. Goodput counts answers " +
+                "within the deadline.",
         )
         val rows =
             listOf(0.5, 1.0, 2.0, 5.0).flatMap { offered ->
-                listOf(false, true).map { fair -> row(offered, Load(offered, fair).run()) }
+                listOf(false, true).map { fair -> row(offered, QueueSimulation(offered, fair).run()) }
             }
         val columns = listOf("offered / capacity", "queue", "goodput / capacity", "late", "refused early", "Jain")
         report.table("Goodput against offered load", columns, rows)
@@ -90,23 +91,24 @@
 
     private fun row(
         offered: Double,
-        load: Load,
+        simulation: QueueSimulation,
     ): List<String> {
-        val goodput = load.good.sum() / (LENGTH.inWholeSeconds * CAPACITY)
+        val goodput = simulation.answeredInTime.sum() / (SIMULATED_TIME.inWholeSeconds * CAPACITY_PER_SECOND)
         return listOf(
             number(offered, 1),
-            if (load.fair) "fair, refuses early" else "in order, unbounded",
+            if (simulation.fair) "fair, refuses early" else "in order, unbounded",
             number(goodput, 3),
-            "${load.late}",
-            "${load.refused}",
-            number(jain(load), 3),
+            "${simulation.late}",
+            "${simulation.refused}",
+            number(jainIndex(simulation), 3),
         )
     }
 
-    /** Jain's index over what each organisation got of its max-min fair part. */
-    private fun jain(load: Load): Double {
-        val fair = maxMinShares(load.arrivals.map { it.toDouble() }, LENGTH.inWholeSeconds * CAPACITY)
-        val parts = load.good.zip(fair) { got, part -> got / part }
+    /** Jain's fairness index over the ratio of each organisation's goodput to its max-min fair share. */
+    private fun jainIndex(simulation: QueueSimulation): Double {
+        val capacity = SIMULATED_TIME.inWholeSeconds * CAPACITY_PER_SECOND
+        val fair = maxMinShares(simulation.arrivals.map { it.toDouble() }, capacity)
+        val parts = simulation.answeredInTime.zip(fair) { got, part -> got / part }
         return parts.sum() * parts.sum() / (parts.size * parts.sumOf { it * it })
     }
 
@@ -125,12 +127,12 @@
 
     private companion object {
         const val ORGANISATIONS = 10
-        const val LARGE_SHARE = 0.8
+        const val LARGE_ORGANISATIONS_SHARE = 0.8
         const val SLOTS = 32
-        val RUN = 500.milliseconds
+        val SERVICE_TIME = 500.milliseconds
         val DEADLINE = 3.seconds
-        val LENGTH = 120.seconds
-        val TICK = 10.milliseconds
-        const val CAPACITY = SLOTS / 0.5
+        val SIMULATED_TIME = 120.seconds
+        val EXPIRY_INTERVAL = 10.milliseconds
+        const val CAPACITY_PER_SECOND = SLOTS / 0.5
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/RetryExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/RetryExperiment.kt
@@ -12,7 +12,7 @@
 import org.apache.commons.rng.simple.RandomSource
 import kotlin.time.Duration.Companion.seconds
 
-/** Attempts per request while a part of all attempts fails, with the retry budget and without. */
+/** Measures attempts per request while a share of all attempts fails, with and without the retry budget. */
 public class RetryExperiment : Experiment {
     override val name: String get() = "retries"
 
@@ -42,7 +42,7 @@
         budgeted: Boolean,
     ): List<String> {
         val random = RandomSource.SPLIT_MIX_64.create(1L)
-        val totals = List(routers) { router(failing, budgeted) { random.nextDouble() } }
+        val totals = List(routers) { simulateRouter(failing, budgeted) { random.nextDouble() } }
         val requests = routers * REQUESTS.toDouble()
         return listOf(
             "$routers",
@@ -53,11 +53,12 @@
         )
     }
 
-    private fun router(
+    private fun simulateRouter(
         failing: Double,
         budgeted: Boolean,
         draw: () -> Double,
     ): Totals {
+        // Without a budget, the limits are so large that they never prevent a retry.
         val budget = if (budgeted) RetryBudget() else RetryBudget(1.0, Int.MAX_VALUE / 2)
         val policy = RetryPolicy(budget)
         val random = RandomSource.SPLIT_MIX_64.create(2L)
@@ -65,6 +66,7 @@
         var attempts = 0
         var failed = 0
         repeat(REQUESTS) {
+            // The number of attempts so far, negated once the request has failed for good.
             var tries = 1
             while (draw() < failing) {
                 val attempt = FailedAttempt(ResultCode.ENDPOINT_FAILED, Outcome.UNKNOWN, true, tries, 30.seconds)
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ServingExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ServingExperiment.kt
@@ -6,7 +6,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Endpoint choice, cold endpoints and failure domains that leave, against the baselines. */
+/**
+ * Compares endpoint choice with the baselines at steady load, after a cold restart of an engine, and while a failure
+ * domain is out of service.
+ */
 public class ServingExperiment : Experiment {
     override val name: String get() = "endpoint-choice"
 
@@ -29,12 +32,12 @@
             "The router's own decisions on virtual time: engines with 16 slots, one in ten half as fast, reports " +
                 "every 500 ms and 150 ms late, a prefix cache of 64 entries for 48 sessions per engine. Seed 1.",
         )
-        choice(report)
-        cold(report)
-        domain(report)
+        reportEndpointChoice(report)
+        reportColdEngine(report)
+        reportDomainOutage(report)
     }
 
-    private fun choice(report: ExperimentReport) {
+    private fun reportEndpointChoice(report: ExperimentReport) {
         val rows =
             sizes.flatMap { size ->
                 PolicyKind.entries.filter { it != PolicyKind.WITHOUT_RAMP }.map { policy -> choiceRow(size, policy) }
@@ -57,11 +60,11 @@
             "${run.milliseconds(50.0)}",
             "${run.milliseconds(99.0)}",
             number(run.finished.toDouble() / run.arrived, 3),
-            number(run.hitShare, 3),
+            number(run.cacheHitRatio, 3),
         )
     }
 
-    private fun cold(report: ExperimentReport) {
+    private fun reportColdEngine(report: ExperimentReport) {
         val policies = listOf(PolicyKind.LEAST_REPORTED, PolicyKind.WITHOUT_RAMP, PolicyKind.ALMONDHAVEN)
         val rows =
             sizes.flatMap { size ->
@@ -85,7 +88,7 @@
         return listOf("$size", policy.label, connections, "${run.worstExcess}", "${run.milliseconds(99.0)}")
     }
 
-    private fun domain(report: ExperimentReport) {
+    private fun reportDomainOutage(report: ExperimentReport) {
         val rows = listOf(false, true).map { leaves -> domainRow(leaves) }
         report.table(
             "One of four domains leaves at 15 s and returns at 30 s, 5 routers, 8 endpoints, 50% load",
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ServingRun.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/ServingRun.kt
@@ -17,7 +17,7 @@
 import kotlin.time.Duration.Companion.nanoseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A policy that a run uses on every router. */
+/** The endpoint choice policy that every router of a run uses. */
 internal enum class PolicyKind(
     val label: String,
 ) {
@@ -30,9 +30,9 @@
 }
 
 /**
- * What a run consists of.
+ * Parameters of a run.
  *
- * @property load offered load as a part of the engines' capacity without cache hits.
+ * @property load offered load as a fraction of the engines' capacity without prefix cache hits.
  */
 internal data class ServingPlan(
     val policy: PolicyKind,
@@ -45,8 +45,8 @@
 )
 
 /**
- * Routers before engines on virtual time. Requests arrive at random routers; reports are half a second apart and come
- * [REPORT_LAG] late.
+ * Simulates routers in front of engines in virtual time. Requests arrive at random routers. Engines report their load
+ * every half second, and the reports reach the routers [REPORT_LAG] later.
  */
 internal class ServingRun(
     private val plan: ServingPlan,
@@ -76,7 +76,7 @@
         val arrivedAt: Long,
     )
 
-    /** Times to first token in milliseconds of requests that arrived while [measuring]. */
+    /** Times to first token, in milliseconds, of requests whose first token came while [measuring]. */
     val firstTokens = Histogram(HISTOGRAM_DIGITS)
     var measuring: Boolean = true
     var arrived = 0
@@ -86,7 +86,7 @@
     var retried = 0
         private set
 
-    val hitShare: Double get() =
+    val cacheHitRatio: Double get() =
         engines.values.sumOf { it.hits }.toDouble() /
             engines.values.sumOf { it.hits + it.misses }
     val worstExcess: Int get() = engines.values.maxOf { it.worstExcess }
@@ -97,23 +97,25 @@
         action: ServingRun.() -> Unit,
     ): ServingRun = apply { loop.after(time) { action() } }
 
-    /** Engine [engine] turns cold without closing a connection. */
+    /** Empties the prefix cache of [engine] and restarts its slow start without closing a connection. */
     fun turnCold(engine: Int): Unit = engines.getValue(endpoints[engine].id).turnCold()
 
-    /** Engine [engine] restarts; every router sees its connections close. */
+    /** Restarts [engine]; every router sees its connections close. */
     fun restart(engine: Int) {
         val id = endpoints[engine].id
         engines.getValue(id).restart()
-        policies.forEach { policy -> loop.after(BORDER_DELAY) { policy.connectionLost(id, loop.now) } }
+        policies.forEach { policy -> loop.after(CROSS_DOMAIN_DELAY) { policy.recordConnectionLost(id, loop.now) } }
     }
 
-    /** Takes [domain] out of service on every router, or brings it back. */
+    /** Takes [domain] out of service on every router or returns it, each router after a random delay. */
     fun setInService(
         domain: Int,
         inService: Boolean,
     ) {
         val kept = endpoints.filter { inService || it.failureDomain != domainNames[domain] }
-        policies.forEach { policy -> loop.after(CONFIGURATION_SPREAD * random.nextDouble()) { policy.inService(kept) } }
+        policies.forEach { policy ->
+            loop.after(LONGEST_CONFIGURATION_DELAY * random.nextDouble()) { policy.setInService(kept) }
+        }
     }
 
     fun run(): ServingRun {
@@ -127,7 +129,7 @@
 
     fun milliseconds(percentile: Double): Long = firstTokens.getValueAtPercentile(percentile)
 
-    private fun policyOf(member: Member): ChoicePolicy =
+    private fun policyOf(member: Member): EndpointChoicePolicy =
         when (plan.policy) {
             PolicyKind.ROUND_ROBIN -> {
                 BaselinePolicy(BaselinePolicy.Kind.ROUND_ROBIN, endpoints, random)
@@ -151,7 +153,13 @@
             }
 
             PolicyKind.EARLY_SPREADING -> {
-                RouterPolicy(member, sharers, random, SlowStart(), EndpointChooser(queueingThreshold = EARLY))
+                RouterPolicy(
+                    member,
+                    sharers,
+                    random,
+                    SlowStart(),
+                    EndpointChooser(queueingThreshold = EARLY_QUEUEING_THRESHOLD),
+                )
             }
 
             PolicyKind.ALMONDHAVEN -> {
@@ -164,12 +172,12 @@
         val reports = engines.mapValues { it.value.report() }
         policies.forEachIndexed { router, policy ->
             val polled = rotated(policy.watched, router)
-            loop.after(REPORT_LAG) { polled.forEach { policy.report(it, reports.getValue(it), takenAt) } }
+            loop.after(REPORT_LAG) { polled.forEach { policy.acceptReport(it, reports.getValue(it), takenAt) } }
         }
         reportRound++
     }
 
-    /** The endpoints that [router] polls in this round; a router asks at most [POLLED_AT_ONCE] of them. */
+    /** The endpoints that [router] polls in this round, at most [POLLED_AT_ONCE] of those [watched]. */
     private fun rotated(
         watched: List<EndpointId>,
         router: Int,
@@ -187,7 +195,7 @@
     private fun arrive() {
         if (loop.now > (WARM_UP + plan.duration).inWholeNanoseconds) return
         val router = random.nextInt(plan.routers)
-        val key = random.nextInt(plan.endpoints * SESSIONS_PER_ENDPOINT).toLong() * KEY_SPREAD
+        val key = random.nextInt(plan.endpoints * SESSIONS_PER_ENDPOINT).toLong() * KEY_MULTIPLIER
         arrived++
         queues[router] += Request(router, key, loop.now)
         serve(router)
@@ -211,7 +219,7 @@
         val sentAt = loop.now
         var firstTokenAt = 0L
         val local = domainOf.getValue(endpoint) == members[request.router].failureDomain
-        loop.after(if (local) LOCAL_DELAY else BORDER_DELAY) {
+        loop.after(if (local) LOCAL_DELAY else CROSS_DOMAIN_DELAY) {
             engines.getValue(endpoint).accept(
                 request.key,
                 onFirstToken = {
@@ -220,31 +228,31 @@
                 },
                 onEnd = {
                     finished++
-                    policies[request.router].ended(endpoint, (firstTokenAt - sentAt).nanoseconds, loop.now)
+                    policies[request.router].recordEnd(endpoint, (firstTokenAt - sentAt).nanoseconds, loop.now)
                     serve(request.router)
                 },
-                onLost = { lost(request, endpoint) },
+                onLost = { resend(request, endpoint) },
             )
         }
     }
 
-    /** A request whose endpoint restarted under it is sent again, as the retry filter does. */
-    private fun lost(
+    /** Sends a request again whose endpoint restarted while serving it, as the retry filter does. */
+    private fun resend(
         request: Request,
         endpoint: EndpointId,
     ) {
         retried++
-        policies[request.router].ended(endpoint, SimulatedEngine.PREFILL, loop.now)
+        policies[request.router].recordEnd(endpoint, SimulatedEngine.PREFILL, loop.now)
         queues[request.router].addFirst(request)
-        loop.after(BORDER_DELAY * 2) { serve(request.router) }
+        loop.after(CROSS_DOMAIN_DELAY * 2) { serve(request.router) }
     }
 
     private companion object {
-        const val EARLY = 0.7
+        const val EARLY_QUEUEING_THRESHOLD = 0.7
         const val SLOW_ENGINE = 2.0
         const val POLLED_AT_ONCE = 24
         const val SESSIONS_PER_ENDPOINT = 48
-        const val KEY_SPREAD = 7_919L
+        const val KEY_MULTIPLIER = 7_919L
         const val HISTOGRAM_DIGITS = 3
         const val NANOS_PER_MILLI = 1_000_000L
         val WARM_UP = 2.seconds
@@ -253,7 +261,7 @@
         val REPORT_LAG = 150.milliseconds
         val TICK = 100.milliseconds
         val LOCAL_DELAY = 200_000.nanoseconds
-        val BORDER_DELAY = 1.5.milliseconds
-        val CONFIGURATION_SPREAD = 500.milliseconds
+        val CROSS_DOMAIN_DELAY = 1.5.milliseconds
+        val LONGEST_CONFIGURATION_DELAY = 500.milliseconds
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/SimulatedEngine.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/SimulatedEngine.kt
@@ -11,8 +11,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * An engine as a queue with [Endpoint.slots] servers and a least-recently-used prefix cache. While it is cold, more
- * requests than it can bear slow all of them down.
+ * Models an engine as a queue with [Endpoint.slots] servers and a least-recently-used prefix cache. While the engine is
+ * cold, requests that start while more are in flight than its slow start allows run slower.
  */
 internal class SimulatedEngine(
     val endpoint: Endpoint,
@@ -35,28 +35,28 @@
         }
     private var running = 0
     private var starts = 0
-    private var startedAt = (-WARM_SINCE).inWholeNanoseconds
+    private var startedAt = (-INITIAL_UPTIME).inWholeNanoseconds
 
-    /** Requests found in the cache and not. */
+    /** Requests whose prefix was found in the cache; [misses] counts the others. */
     var hits = 0
         private set
     var misses = 0
         private set
 
-    /** Most requests beyond what the engine could bear at that moment. */
+    /** Largest number of requests in flight above the slow-start limit at that time. */
     var worstExcess = 0
         private set
 
     private val inFlight: Int get() = running + waiting.size
 
-    /** Turns cold with its requests and connections in place. */
+    /** Empties the cache and restarts slow start, but keeps requests and connections. */
     fun turnCold() {
         starts++
         startedAt = loop.now
         cache.clear()
     }
 
-    /** Turns cold and loses what it was doing. */
+    /** Turns cold and loses all running and waiting requests. */
     fun restart() {
         val lost = started.toList() + waiting
         started.clear()
@@ -76,11 +76,11 @@
         onLost: () -> Unit,
     ) {
         waiting += Job(key, onFirstToken, onEnd, onLost)
-        bearable()?.let { worstExcess = maxOf(worstExcess, inFlight - it) }
+        coldLimit()?.let { worstExcess = maxOf(worstExcess, inFlight - it) }
         serve()
     }
 
-    private fun bearable(): Int? = BEARABLE.fleetLimit(endpoint.slots, (loop.now - startedAt).nanoseconds)
+    private fun coldLimit(): Int? = SLOW_START.fleetLimit(endpoint.slots, (loop.now - startedAt).nanoseconds)
 
     private fun serve() {
         while (running < endpoint.slots && waiting.isNotEmpty()) start(waiting.removeFirst())
@@ -91,16 +91,16 @@
         started += job
         val cached = cache.put(job.key, Unit) != null
         if (cached) hits++ else misses++
-        val overloaded = bearable()?.let { inFlight > it } ?: false
-        val factor = slowdown * (if (overloaded) OVERLOADED_WHILE_COLD else 1.0)
+        val overloaded = coldLimit()?.let { inFlight > it } ?: false
+        val factor = slowdown * (if (overloaded) COLD_OVERLOAD_SLOWDOWN else 1.0)
         val prefill = (if (cached) CACHED_PREFILL else PREFILL) * factor
         loop.after(prefill) {
             if (job in started) job.onFirstToken()
-            loop.after(MEAN_GENERATION * (-ln(1 - random.nextDouble())) * factor) { end(job) }
+            loop.after(MEAN_GENERATION * (-ln(1 - random.nextDouble())) * factor) { finish(job) }
         }
     }
 
-    private fun end(job: Job) {
+    private fun finish(job: Job) {
         if (!started.remove(job)) return
         running--
         job.onEnd()
@@ -110,14 +110,14 @@
     companion object {
         private const val CACHE_ENTRIES = 64
         private const val LOAD_FACTOR = 0.75f
-        private const val OVERLOADED_WHILE_COLD = 6.0
-        private val WARM_SINCE: Duration = 3_600.seconds
-        private val BEARABLE = SlowStart()
+        private const val COLD_OVERLOAD_SLOWDOWN = 6.0
+        private val INITIAL_UPTIME: Duration = 3_600.seconds
+        private val SLOW_START = SlowStart()
         val PREFILL = 120.milliseconds
         val CACHED_PREFILL = 20.milliseconds
         val MEAN_GENERATION = 900.milliseconds
 
-        /** Requests a second that one slot carries without cache hits. */
+        /** Requests per second that one slot serves without cache hits: 120 ms of prefill and 900 ms of decode each. */
         const val REQUESTS_PER_SLOT_SECOND = 1 / 1.02
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/VirtualTimeLoop.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/serving/VirtualTimeLoop.kt
@@ -3,18 +3,18 @@
 import java.util.PriorityQueue
 import kotlin.time.Duration
 
-/** Runs actions in the order of their virtual times, so that decisions can be driven without threads or waiting. */
+/** Runs actions in the order of their virtual times, without threads or waiting; ties run in scheduling order. */
 internal class VirtualTimeLoop {
-    private class Due(
+    private class ScheduledAction(
         val at: Long,
-        val order: Long,
+        val sequence: Long,
         val action: () -> Unit,
     )
 
-    private val due = PriorityQueue(compareBy<Due>({ it.at }, { it.order }))
-    private var scheduled = 0L
+    private val queue = PriorityQueue(compareBy<ScheduledAction>({ it.at }, { it.sequence }))
+    private var nextSequence = 0L
 
-    /** Virtual nanoseconds. */
+    /** Virtual time in nanoseconds. */
     var now: Long = 0
         private set
 
@@ -22,10 +22,10 @@
         delay: Duration,
         action: () -> Unit,
     ) {
-        due += Due(now + delay.inWholeNanoseconds, scheduled++, action)
+        queue += ScheduledAction(now + delay.inWholeNanoseconds, nextSequence++, action)
     }
 
-    /** Runs [action] now and after every [interval]. */
+    /** Runs [action] now and then every [interval]. */
     fun every(
         interval: Duration,
         action: () -> Unit,
@@ -34,10 +34,10 @@
         after(interval) { every(interval, action) }
     }
 
-    /** Runs everything that is due before [end]. */
+    /** Runs all actions that are due up to and including [end]. */
     fun runUntil(end: Duration) {
-        while (due.isNotEmpty() && due.peek().at <= end.inWholeNanoseconds) {
-            val next = due.poll()
+        while (queue.isNotEmpty() && queue.peek().at <= end.inWholeNanoseconds) {
+            val next = queue.poll()
             now = next.at
             next.action()
         }
