--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/ChoicePolicies.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/ChoicePolicies.kt
@@ -15,8 +15,8 @@
 import dev.almondhaven.model.TaskClass
 import org.apache.commons.rng.UniformRandomProvider
 
-/** A way to choose models, compared with others on the same requests. */
-internal interface ChoicePolicy {
+/** A policy for choosing the model version of a request; policies are compared on the same requests. */
+internal interface ModelChoicePolicy {
     val name: String
 
     fun choose(
@@ -25,16 +25,16 @@
         now: Long,
     ): Plan
 
-    /** An answer was given at the step on [version]. */
-    fun answered(
+    /** Records that [version] answered a step of the plan for [request]. */
+    fun recordAnswer(
         version: ModelVersion,
         request: FakeRequest,
         confidence: ConfidenceBand,
         now: Long,
     ): Unit = Unit
 
-    /** A rating of a delivered answer has come in. */
-    fun rated(
+    /** Records a rating of a delivered answer; ratings arrive late. */
+    fun recordRating(
         version: ModelVersion,
         taskClass: TaskClass,
         answer: FakeAnswer,
@@ -43,7 +43,7 @@
     ): Unit = Unit
 }
 
-private fun single(
+private fun singleStepPlan(
     model: FakeModel,
     demand: Demand,
     estimate: VersionEstimate = NEUTRAL,
@@ -54,22 +54,22 @@
 
 private val NEUTRAL = VersionEstimate(0.5, 0.0, 0.0, DoubleArray(4) { 1.0 }, DoubleArray(4) { 0.5 }, 20.0)
 
-/** Always the same model. */
+/** Always chooses the same model. */
 internal class FixedPolicy(
     override val name: String,
     private val model: FakeModel,
-) : ChoicePolicy {
+) : ModelChoicePolicy {
     override fun choose(
         request: FakeRequest,
         demand: Demand,
         now: Long,
-    ): Plan = single(model, demand)
+    ): Plan = singleStepPlan(model, demand)
 }
 
-/** Any model, the cheaper the likelier. */
+/** Chooses a random model with a probability inversely proportional to its output price. */
 internal class RandomPolicy(
     private val random: UniformRandomProvider,
-) : ChoicePolicy {
+) : ModelChoicePolicy {
     override val name: String = "random by weight (1/price)"
     private val weights = FakeModel.ALL.map { 1 / it.version.price.output }
 
@@ -80,45 +80,47 @@
     ): Plan {
         var left = random.nextDouble() * weights.sum()
         val index = weights.indexOfFirst { weight -> (left - weight).also { left = it } < 0 }
-        return single(FakeModel.ALL[maxOf(0, index)], demand)
+        return singleStepPlan(FakeModel.ALL[maxOf(0, index)], demand)
     }
 }
 
-/** The cheapest model whose mean rating reaches the target; any model for a fixed part of the requests. */
+/** Chooses the cheapest model whose mean rating reaches the target, and a random model for 5% of the requests. */
 internal class EpsilonGreedyPolicy(
     private val random: UniformRandomProvider,
-) : ChoicePolicy {
+) : ModelChoicePolicy {
     override val name: String = "epsilon-greedy (5%)"
-    private val sums = HashMap<Pair<ModelVersion, TaskClass>, DoubleArray>()
+    private val ratingTotals = HashMap<Pair<ModelVersion, TaskClass>, DoubleArray>()
 
     override fun choose(
         request: FakeRequest,
         demand: Demand,
         now: Long,
     ): Plan {
-        if (random.nextDouble() < EPSILON) return single(FakeModel.ALL[random.nextInt(FakeModel.ALL.size)], demand)
-        val adequate = FakeModel.ALL.filter { mean(it, request.taskClass) >= request.target }
+        if (random.nextDouble() < EPSILON) {
+            return singleStepPlan(FakeModel.ALL[random.nextInt(FakeModel.ALL.size)], demand)
+        }
+        val adequate = FakeModel.ALL.filter { meanRating(it, request.taskClass) >= request.target }
         val chosen = adequate.minByOrNull { it.version.price.output }
-        return single(chosen ?: FakeModel.ALL.maxBy { mean(it, request.taskClass) }, demand)
+        return singleStepPlan(chosen ?: FakeModel.ALL.maxBy { meanRating(it, request.taskClass) }, demand)
     }
 
-    override fun rated(
+    override fun recordRating(
         version: ModelVersion,
         taskClass: TaskClass,
         answer: FakeAnswer,
         escalated: Boolean,
         now: Long,
     ) {
-        val entry = sums.getOrPut(version to taskClass) { DoubleArray(2) }
+        val entry = ratingTotals.getOrPut(version to taskClass) { DoubleArray(2) }
         entry[0] += answer.quality
         entry[1] += 1.0
     }
 
-    private fun mean(
+    private fun meanRating(
         model: FakeModel,
         taskClass: TaskClass,
     ): Double {
-        val entry = sums[model.version to taskClass] ?: return model.version.quality.of(taskClass)
+        val entry = ratingTotals[model.version to taskClass] ?: return model.version.quality.of(taskClass)
         return entry[0] / entry[1]
     }
 
@@ -127,20 +129,20 @@
     }
 }
 
-/** The router's own decision, fed as the router feeds it. */
+/** Chooses with the router's production code, including exploration, on evidence recorded as the router does. */
 internal class RouterPolicy(
     random: UniformRandomProvider,
-) : ChoicePolicy {
+) : ModelChoicePolicy {
     override val name: String = "almondhaven"
     private val pool = EvidencePool(RouterId("router"))
     private val budget = ExplorationBudget(ExplorationLimits(), random)
-    private var candidates = HashMap<TaskClass, List<Candidate>>()
-    private var builtAt = Long.MIN_VALUE
+    private var candidatesByTaskClass = HashMap<TaskClass, List<Candidate>>()
+    private var evaluatedAt = Long.MIN_VALUE
 
-    /** Requests that explored. */
-    val explored: Long get() = budget.exploredRequests
+    /** Number of requests used for exploration. */
+    val exploredRequests: Long get() = budget.exploredRequests
 
-    /** Cost that exploration added. */
+    /** Additional cost of exploration. */
     val exploredCost: Double get() = budget.addedCost
 
     override fun choose(
@@ -148,27 +150,27 @@
         demand: Demand,
         now: Long,
     ): Plan {
-        if (builtAt == Long.MIN_VALUE || now - builtAt >= EVALUATION_MILLIS) {
+        if (evaluatedAt == Long.MIN_VALUE || now - evaluatedAt >= EVALUATION_INTERVAL_MILLIS) {
             pool.advance(now)
-            candidates = HashMap()
-            builtAt = now
+            candidatesByTaskClass = HashMap()
+            evaluatedAt = now
         }
-        val known =
-            candidates.getOrPut(
+        val candidates =
+            candidatesByTaskClass.getOrPut(
                 request.taskClass,
             ) { FakeModel.ALL.map { candidate(it, request.taskClass, now) } }
-        val plan = checkNotNull(PlanChooser.choose(known, demand)) { "no plan for $demand" }
-        return budget.explore(plan, known, demand)
+        val plan = checkNotNull(PlanChooser.choose(candidates, demand)) { "no plan for $demand" }
+        return budget.explore(plan, candidates, demand)
     }
 
-    override fun answered(
+    override fun recordAnswer(
         version: ModelVersion,
         request: FakeRequest,
         confidence: ConfidenceBand,
         now: Long,
     ): Unit = pool.record(subject(version, request.taskClass), now) { it.plusRequest(false, 20.0, confidence) }
 
-    override fun rated(
+    override fun recordRating(
         version: ModelVersion,
         taskClass: TaskClass,
         answer: FakeAnswer,
@@ -194,6 +196,6 @@
     ): EvidenceSubject = EvidenceSubject(version.id, version.definedIn, taskClass)
 
     private companion object {
-        const val EVALUATION_MILLIS = 5_000L
+        const val EVALUATION_INTERVAL_MILLIS = 5_000L
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/CostMeasurement.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/CostMeasurement.kt
@@ -8,7 +8,7 @@
 import org.apache.commons.rng.simple.RandomSource
 import java.util.ArrayDeque
 
-/** What one policy came to over the same requests as the others. */
+/** Cost and quality of one policy, per request where not stated otherwise. */
 internal class CostResult(
     val name: String,
     val costPerThousand: Double,
@@ -17,7 +17,7 @@
     val escalated: Double,
 )
 
-/** Compares the cost at the quality target of several policies over a day of requests in virtual time. */
+/** Compares the cost of several policies at the quality target over a simulated day of requests. */
 internal class CostMeasurement(
     private val ratedShare: Double,
     private val requests: Int = REQUESTS,
@@ -32,18 +32,18 @@
                     .sum()
             }
         val cheapest = FakeModel.ALL.minBy { it.version.price.output }
-        val router = RouterPolicy(random(1))
+        val router = RouterPolicy(randomSource(1))
         val results =
             listOf(
                 FixedPolicy("always-best", best),
                 FixedPolicy("always-cheapest", cheapest),
-                RandomPolicy(random(2)),
-                EpsilonGreedyPolicy(random(3)),
+                RandomPolicy(randomSource(2)),
+                EpsilonGreedyPolicy(randomSource(3)),
                 OraclePolicy(),
                 router,
             ).map { evaluate(it) }
         write(report, results)
-        val share = ExperimentReport.number(100.0 * router.explored / requests)
+        val share = ExperimentReport.number(100.0 * router.exploredRequests / requests)
         report.text("almondhaven explored with $share% of the requests (budget 2%).")
         return results
     }
@@ -70,21 +70,21 @@
         report.table("Cost at the quality target, $percent% of the answers rated, 60 s late", COLUMNS, rows)
     }
 
-    private fun evaluate(policy: ChoicePolicy): CostResult {
+    private fun evaluate(policy: ModelChoicePolicy): CostResult {
         val run = PolicyRun(policy)
         val workload = FakeWorkload(seed)
         repeat(requests) { run.next(workload.next(), it * MILLIS_PER_DAY / requests) }
         return run.result()
     }
 
-    private fun random(offset: Long) = RandomSource.XO_RO_SHI_RO_128_PP.create(seed + offset)
+    private fun randomSource(offset: Long) = RandomSource.XO_RO_SHI_RO_128_PP.create(seed + offset)
 
     private inner class PolicyRun(
-        private val policy: ChoicePolicy,
+        private val policy: ModelChoicePolicy,
     ) {
-        private val answers = random(10)
-        private val sampling = random(11)
-        private val late = ArrayDeque<LateRating>()
+        private val answers = randomSource(10)
+        private val sampling = randomSource(11)
+        private val pendingRatings = ArrayDeque<LateRating>()
         private val groups = HashMap<Pair<Int, TaskClass>, Group>()
         private var cost = 0.0
         private var escalated = 0
@@ -93,22 +93,25 @@
             request: FakeRequest,
             now: Long,
         ) {
-            while (late.isNotEmpty() && late.first().due <= now) deliver(late.removeFirst(), now)
+            while (pendingRatings.isNotEmpty() && pendingRatings.first().due <= now) {
+                deliver(pendingRatings.removeFirst(), now)
+            }
             val demand = Demand(request.promptTokens, request.outputTokens, request.target, DEADLINE_MILLIS)
             val plan = policy.choose(request, demand, now)
-            var answer = step(plan.first, request, now)
+            var answer = runStep(plan.first, request, now)
             var served = plan.first
-            val second = plan.escalation
-            if (second != null && answer.confidence < plan.minimumConfidence) {
+            val escalation = plan.escalation
+            if (escalation != null && answer.confidence < plan.minimumConfidence) {
                 escalated++
-                answer = step(second, request, now)
-                served = second
+                answer = runStep(escalation, request, now)
+                served = escalation
             }
             val group = groups.getOrPut(request.organisation to request.taskClass) { Group(request.target) }
             group.count++
             group.quality += answer.quality
             if (sampling.nextDouble() < ratedShare) {
-                late += LateRating(now + LAG_MILLIS, served, request, answer, escalated = served !== plan.first)
+                val wasEscalated = served !== plan.first
+                pendingRatings += LateRating(now + RATING_LAG_MILLIS, served, request, answer, wasEscalated)
             }
         }
 
@@ -125,7 +128,7 @@
             )
         }
 
-        private fun step(
+        private fun runStep(
             version: ModelVersion,
             request: FakeRequest,
             now: Long,
@@ -133,7 +136,7 @@
             val price = version.price
             cost += price.input * request.promptTokens + price.output * request.outputTokens
             val answer = models.getValue(version.id).answer(request, answers)
-            policy.answered(version, request, answer.confidence, now)
+            policy.recordAnswer(version, request, answer.confidence, now)
             return answer
         }
 
@@ -141,7 +144,7 @@
             rating: LateRating,
             now: Long,
         ): Unit =
-            policy.rated(
+            policy.recordRating(
                 rating.version,
                 rating.request.taskClass,
                 rating.answer,
@@ -168,7 +171,7 @@
     private companion object {
         const val REQUESTS = 400_000
         const val SEED = 42L
-        const val LAG_MILLIS = 60_000L
+        const val RATING_LAG_MILLIS = 60_000L
         const val MILLIS_PER_DAY = 86_400_000L
         const val DEADLINE_MILLIS = 120_000L
         const val MICRO = 1e6
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/DecisionTimeMeasurement.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/DecisionTimeMeasurement.kt
@@ -13,7 +13,7 @@
 import org.apache.commons.rng.simple.RandomSource
 import java.lang.management.ManagementFactory
 
-/** Times one decision among nine versions for ten organisations, and counts what it allocates. */
+/** Measures the latency and heap allocation of one model choice among nine versions for ten organisations. */
 internal class DecisionTimeMeasurement {
     private val candidates =
         listOf(TaskClassifier.TAGGING, TaskClassifier.QUERY, TaskClassifier.DRAFTING).associateWith { taskClass ->
@@ -28,11 +28,11 @@
         val workload = FakeWorkload(3)
         val requests = List(DECISIONS) { workload.next() }
         requests.forEach { decide(it) }
-        val rows = (1..ROUNDS).map { round(it, requests) }
+        val rows = (1..ROUNDS).map { measureRound(it, requests) }
         report.table("Decision, 9 versions, 10 organisations, exploration included", COLUMNS, rows)
     }
 
-    private fun round(
+    private fun measureRound(
         number: Int,
         requests: List<FakeRequest>,
     ): List<String> {
@@ -55,9 +55,9 @@
 
     private fun decide(request: FakeRequest) {
         val demand = Demand(request.promptTokens, request.outputTokens, request.target, DEADLINE_MILLIS)
-        val known = candidates.getValue(request.taskClass)
-        val plan = checkNotNull(PlanChooser.choose(known, demand)) { "no plan for $demand" }
-        budget.explore(plan, known, demand)
+        val classCandidates = candidates.getValue(request.taskClass)
+        val plan = checkNotNull(PlanChooser.choose(classCandidates, demand)) { "no plan for $demand" }
+        budget.explore(plan, classCandidates, demand)
     }
 
     private fun micros(nanos: Long): String = ExperimentReport.number(nanos / 1_000.0)
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/ExposureMeasurement.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/ExposureMeasurement.kt
@@ -13,13 +13,13 @@
 import dev.almondhaven.model.VersionId
 import org.apache.commons.rng.simple.RandomSource
 
-/** Counts the requests that a bad version gets before every router has stopped it. */
+/** Counts the requests that run on a faulty version before every router has quarantined it. */
 internal class ExposureMeasurement {
-    private val old = version("1", 1)
+    private val stableVersion = version("1", 1)
     private val steps = listOf(RollOutStep(0.05, 20), RollOutStep(0.25, 20), RollOutStep(0.5, 20))
-    private val new =
+    private val newVersion =
         version("2", 2).copy(rollOut = RollOut(VersionId("1"), startedAt = START_MILLIS, steps = steps))
-    private val good = FakeBehaviour()
+    private val healthy = FakeBehaviour()
     private val faults =
         listOf(
             "one answer in five is an error" to FakeBehaviour(errorRate = 0.2),
@@ -46,10 +46,10 @@
         fault: String,
         behaviour: FakeBehaviour,
     ): List<List<String>> {
-        val byRatings = behaviour.quality < good.quality
+        val byRatings = behaviour.quality < healthy.quality
         val shares = if (byRatings) listOf(0.01, 0.05, 0.2) else listOf(0.05)
         return shares.map { share ->
-            val fleet = SimulatedFleet(size, Catalogue(models = listOf(old, new)), share, random())
+            val fleet = SimulatedFleet(size, Catalogue(models = listOf(stableVersion, newVersion)), share, random())
             val stopped = rollOut(fleet, behaviour)
             listOf(fault, if (byRatings) percent(share, 0) else "-") + result(size, fleet, stopped)
         }
@@ -61,9 +61,9 @@
     ): Int? =
         (0 until HOUR_SECONDS).firstOrNull { second ->
             val now = START_MILLIS + second * SECOND_MILLIS
-            val share = RollOutAssignment.share(checkNotNull(new.rollOut) { "no roll-out" }, now)
-            fleet.second(now, share, new, behaviour, old, good)
-            fleet.allStopped(new)
+            val share = RollOutAssignment.share(checkNotNull(newVersion.rollOut) { "no roll-out" }, now)
+            fleet.simulateSecond(now, share, newVersion, behaviour, stableVersion, healthy)
+            fleet.allStopped(newVersion)
         }
 
     private fun inServiceRow(
@@ -71,20 +71,21 @@
         fault: String,
         behaviour: FakeBehaviour,
     ): List<String> {
-        val alone = version("3", 1)
-        val fleet = SimulatedFleet(size, Catalogue(models = listOf(old, alone)), SHARE_RATED, random())
-        val calm = CALM_SECONDS
-        repeat(calm) {
-            val evaluate = it % CALM_EVALUATION_SECONDS == 0
-            fleet.second(START_MILLIS + it * SECOND_MILLIS, 1.0, alone, good, old, good, evaluate)
+        val suspect = version("3", 1)
+        val fleet = SimulatedFleet(size, Catalogue(models = listOf(stableVersion, suspect)), RATED_SHARE, random())
+        val healthySeconds = HEALTHY_SECONDS
+        repeat(healthySeconds) {
+            val evaluate = it % HEALTHY_EVALUATION_INTERVAL_SECONDS == 0
+            val now = START_MILLIS + it * SECOND_MILLIS
+            fleet.simulateSecond(now, 1.0, suspect, healthy, stableVersion, healthy, evaluate)
         }
-        check(!fleet.anyStopped(alone)) { "a good version was stopped" }
+        check(!fleet.anyStopped(suspect)) { "a healthy version was quarantined" }
         val before = fleet.exposed
         val stopped =
-            (0 until PATIENCE_SECONDS).firstOrNull { second ->
-                val now = START_MILLIS + (calm + second) * SECOND_MILLIS
-                fleet.second(now, 1.0, alone, behaviour, old, good)
-                fleet.allStopped(alone)
+            (0 until STOP_LIMIT_SECONDS).firstOrNull { second ->
+                val now = START_MILLIS + (healthySeconds + second) * SECOND_MILLIS
+                fleet.simulateSecond(now, 1.0, suspect, behaviour, stableVersion, healthy)
+                fleet.allStopped(suspect)
             }
         val label = "${size.routers} routers, ${size.requestsPerSecond}/s"
         return listOf(label, fault) + result(size, fleet, stopped, before)
@@ -125,10 +126,10 @@
         const val START_MILLIS = 1_800_000_000_000L
         const val SECOND_MILLIS = 1_000L
         const val HOUR_SECONDS = 3_600
-        const val PATIENCE_SECONDS = 600
-        const val CALM_SECONDS = 1_300
-        const val CALM_EVALUATION_SECONDS = 10
-        const val SHARE_RATED = 0.05
+        const val STOP_LIMIT_SECONDS = 600
+        const val HEALTHY_SECONDS = 1_300
+        const val HEALTHY_EVALUATION_INTERVAL_SECONDS = 10
+        const val RATED_SHARE = 0.05
         val SIZES = listOf(FleetSize(5, 40), FleetSize(370, 4_200))
         const val SMALL_FAULT = "one answer in twenty is an error"
         val COLUMNS = listOf("fault", "rated", "stopped everywhere after s", "requests exposed", "of an hour's traffic")
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/FakeModels.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/FakeModels.kt
@@ -12,13 +12,13 @@
 import org.apache.commons.rng.UniformRandomProvider
 import org.apache.commons.rng.simple.RandomSource
 
-/** One answer of a fake model: how good it truly is, and how sure the model was. */
+/** An answer of a simulated model: its true quality and the model's confidence band. */
 internal class FakeAnswer(
     val quality: Double,
     val confidence: ConfidenceBand,
 )
 
-/** A request of the fake workload; [difficulty] is from 0 to 1 and hidden from the choice. */
+/** A request of the simulated workload; [difficulty] ranges from 0 to 1 and is hidden from the policies. */
 internal class FakeRequest(
     val taskClass: TaskClass,
     val organisation: Int,
@@ -28,7 +28,7 @@
     val difficulty: Double,
 )
 
-/** A model whose true skill is known to the experiment; the prior in its release note is off by [priorError]. */
+/** A simulated model with a known true quality per task class; the prior in its release note is off by [priorError]. */
 internal class FakeModel(
     name: String,
     private val skills: Map<TaskClass, Double>,
@@ -83,7 +83,7 @@
                 TaskClassifier.DRAFTING to drafting,
             )
 
-        /** Nine versions of unlike cost and quality. */
+        /** Nine versions with different costs and qualities. */
         val ALL: List<FakeModel> =
             listOf(
                 FakeModel("nano", skills(0.80, 0.60, 0.35), 0.2, 0.06),
@@ -99,7 +99,7 @@
     }
 }
 
-/** The users' mix: much tagging and querying, some drafting from long documents; ten organisations. */
+/** Generates requests of ten organisations: mostly tagging and queries, some drafting from long documents. */
 internal class FakeWorkload(
     seed: Long,
 ) {
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/ModelChoiceExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/ModelChoiceExperiment.kt
@@ -3,7 +3,7 @@
 import dev.almondhaven.experiments.Experiment
 import dev.almondhaven.experiments.ExperimentReport
 
-/** Measures the choice of models and the stopping of bad versions. */
+/** Measures model choice and the quarantine of faulty versions. */
 public class ModelChoiceExperiment : Experiment {
     override val name: String = "model-choice"
     override val about: String = "Cost at the quality target, exposure to bad versions, decision time."
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/OraclePolicy.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/OraclePolicy.kt
@@ -6,8 +6,8 @@
 import dev.almondhaven.model.TaskClass
 import org.apache.commons.rng.simple.RandomSource
 
-/** Knows what every single version and every cascade truly comes to, and takes the cheapest that reaches the target. */
-internal class OraclePolicy : ChoicePolicy {
+/** Knows the true quality and cost of every version and cascade, and chooses the cheapest that reaches the target. */
+internal class OraclePolicy : ModelChoicePolicy {
     override val name: String = "oracle"
     private val plans = HashMap<Pair<TaskClass, Double>, Plan>()
 
@@ -15,25 +15,25 @@
         request: FakeRequest,
         demand: Demand,
         now: Long,
-    ): Plan = plans.getOrPut(request.taskClass to request.target) { search(Truth(request), demand) }
+    ): Plan = plans.getOrPut(request.taskClass to request.target) { search(SampledAnswers(request), demand) }
 
     private fun search(
-        truth: Truth,
+        sampledAnswers: SampledAnswers,
         demand: Demand,
     ): Plan {
-        val singles = FakeModel.ALL.indices.map { truth.single(it) }
+        val singles = FakeModel.ALL.indices.map { sampledAnswers.single(it) }
         val cascades =
             FakeModel.ALL.indices.flatMap { first ->
                 FakeModel.ALL.indices.filter { it != first }.flatMap { second ->
-                    ConfidenceBand.ALL.drop(1).map { truth.cascade(first, second, it) }
+                    ConfidenceBand.ALL.drop(1).map { sampledAnswers.cascade(first, second, it) }
                 }
             }
         val all = singles + cascades
         return all.filter { it.quality >= demand.target }.minByOrNull { it.cost } ?: all.maxBy { it.quality }
     }
 
-    /** The answers of all models to the same sample of requests. */
-    private class Truth(
+    /** Quality and cost of plans, estimated from the answers of all models to the same sample of requests. */
+    private class SampledAnswers(
         private val request: FakeRequest,
     ) {
         private val random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED)
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/SimulatedFleet.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/choice/SimulatedFleet.kt
@@ -14,20 +14,20 @@
 import org.apache.commons.rng.UniformRandomProvider
 import java.util.ArrayDeque
 
-/** How a fake version behaves. */
+/** Error rate, speed and quality of a simulated version. */
 internal class FakeBehaviour(
     val errorRate: Double = 0.01,
     val millisecondsPerToken: Double = 20.0,
     val quality: Double = 0.9,
 )
 
-/** Sizes of a simulated fleet. */
+/** Size and traffic of a simulated fleet. */
 internal class FleetSize(
     val routers: Int,
     val requestsPerSecond: Int,
 )
 
-/** A rating on its way. */
+/** A rating that arrives at its router at [due], in epoch milliseconds. */
 private class LateRating(
     val due: Long,
     val router: SimulatedRouter,
@@ -35,7 +35,7 @@
     val rating: Double,
 )
 
-/** One router: the decisions are the product's, transport and time are the experiment's. */
+/** A router that evaluates versions with the production code, over simulated transport and time. */
 internal class SimulatedRouter(
     id: Int,
     routers: Int,
@@ -58,8 +58,8 @@
 }
 
 /**
- * Routers that serve a share of the traffic on a version, pool evidence by gossip once a second within a budget of
- * cells, and stop the version. Time goes in steps of a second.
+ * Routers that send a share of the traffic to a version, exchange evidence by gossip every second within a limit of
+ * cells per message, and quarantine the version when it is faulty. Time advances in steps of one second.
  */
 internal class SimulatedFleet(
     private val size: FleetSize,
@@ -68,20 +68,23 @@
     private val random: UniformRandomProvider,
 ) {
     private val routers = List(size.routers) { SimulatedRouter(it, size.routers) }
-    private val late = ArrayDeque<LateRating>()
+    private val pendingRatings = ArrayDeque<LateRating>()
 
-    /** Requests that ran on [version] so far. */
+    /** Number of requests so far that ran on the version under test. */
     var exposed: Long = 0
         private set
 
-    /** Whether every router has [version] in quarantine. */
+    /** Whether every router has quarantined [version]. */
     fun allStopped(version: ModelVersion): Boolean = routers.all { it.quarantines.contains(version) }
 
-    /** Whether any router has [version] in quarantine. */
+    /** Whether at least one router has quarantined [version]. */
     fun anyStopped(version: ModelVersion): Boolean = routers.any { it.quarantines.contains(version) }
 
-    /** One second at [now]: [share] of the requests want [version], the others run on [other]. */
-    fun second(
+    /**
+     * Simulates one second at [now]. A [share] of the requests is assigned to [version], unless their router has
+     * quarantined it; all others run on [other].
+     */
+    fun simulateSecond(
         now: Long,
         share: Double,
         version: ModelVersion,
@@ -99,8 +102,8 @@
                 serve(router, other, otherBehaviour, now)
             }
         }
-        while (late.isNotEmpty() && late.first().due <= now) {
-            val rating = late.removeFirst()
+        while (pendingRatings.isNotEmpty() && pendingRatings.first().due <= now) {
+            val rating = pendingRatings.removeFirst()
             rating.router.pool.record(rating.subject, now) { it.plusRating(rating.rating, null) }
         }
         gossip()
@@ -115,11 +118,11 @@
     ) {
         val subject = EvidenceSubject(version.id, version.definedIn, TaskClassifier.QUERY)
         val failed = random.nextDouble() < behaviour.errorRate
-        val pace = behaviour.millisecondsPerToken * (0.7 + 0.6 * random.nextDouble())
-        router.pool.record(subject, now) { it.plusRequest(failed, if (failed) null else pace, null) }
+        val millisPerToken = behaviour.millisecondsPerToken * (0.7 + 0.6 * random.nextDouble())
+        router.pool.record(subject, now) { it.plusRequest(failed, if (failed) null else millisPerToken, null) }
         if (!failed && random.nextDouble() < ratedShare) {
             val rating = (behaviour.quality + 0.2 * (random.nextDouble() - 0.5)).coerceIn(0.0, 1.0)
-            late += LateRating(now + RATING_LAG_MILLIS, router, subject, rating)
+            pendingRatings += LateRating(now + RATING_LAG_MILLIS, router, subject, rating)
         }
     }
 
@@ -128,22 +131,22 @@
         routers.forEach { router ->
             repeat(MESSAGES_PER_SECOND) {
                 val peer = routers[random.nextInt(routers.size)]
-                if (peer !== router) tell(router, peer)
+                if (peer !== router) sendEvidence(router, peer)
             }
         }
     }
 
-    private fun tell(
+    private fun sendEvidence(
         router: SimulatedRouter,
         peer: SimulatedRouter,
     ) {
         router.pool.nextToGossip(CELLS_PER_MESSAGE).forEach { (cell, tally) ->
-            peer.pool.merge(cell, Tally.parse(tally))
+            peer.pool.merge(cell, Tally.encodeAndDecode(tally))
         }
         peer.quarantines = peer.quarantines.merge(router.quarantines)
     }
 
-    private fun Tally.Companion.parse(tally: Tally): Tally =
+    private fun Tally.Companion.encodeAndDecode(tally: Tally): Tally =
         checkNotNull(parseOrNull(tally.toText())) { "unreadable tally $tally" }
 
     private companion object {
