--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/DistributionExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/DistributionExperiment.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** Time until a published configuration is in force everywhere, and what that costs the platform. */
+/** Measures the time until a published configuration is in force on every router, and the platform calls it takes. */
 internal class DistributionExperiment : Experiment {
     override val name = "configuration-distribution"
     override val about = "Time to in force and platform calls against fleet size, with and without a platform outage."
@@ -32,7 +32,7 @@
                 "at 5 routers and of 780 above. $NOTES notes at 0.5 to 5.5 s from each other, each measured at every " +
                 "router. Processing time on the routers isn't in the virtual time. Up to 8 routers every one watches.",
         )
-        val rows = SIZES.flatMap { size -> variants.map { measure(size, it) } }
+        val rows = SIZES.flatMap { size -> variants.map { measurePublishing(size, it) } }
         report.table(
             "Time to in force (ms) and platform calls",
             listOf("routers", "who watches", "p50", "p99", "max", "calls/s, quiet", "calls/s, publishing"),
@@ -47,18 +47,18 @@
                 "calls/s in the first 10 s after",
                 "agree after (s)",
             ),
-            SIZES.flatMap { size -> variants.map { outage(size, it) } },
+            SIZES.flatMap { size -> variants.map { measureOutage(size, it) } },
         )
     }
 
-    private fun measure(
+    private fun measurePublishing(
         size: Int,
         variant: Variant,
     ): List<String> {
         val fleet = FleetMeasurement(size, variant.plan)
-        fleet.settle()
+        fleet.startAndConverge()
         fleet.run(10.seconds)
-        val quiet = fleet.cost(QUIET).platformCallsPerSecond
+        val quiet = fleet.measureCost(QUIET).platformCallsPerSecond
         var times = Histogram(1)
         val publishing = fleet.callsDuring { times = fleet.timesToInForce(NOTES) }
         return listOf("$size", variant.name) +
@@ -67,21 +67,22 @@
             listOf(number(quiet), number(publishing))
     }
 
-    private fun outage(
+    private fun measureOutage(
         size: Int,
         variant: Variant,
     ): List<String> {
         val fleet = FleetMeasurement(size, variant.plan)
-        fleet.settle()
-        fleet.outage(true)
+        fleet.startAndConverge()
+        fleet.setOutage(true)
         val half = OUTAGE / 2
-        val before = fleet.cost(half).platformCallsPerSecond
+        val before = fleet.measureCost(half).platformCallsPerSecond
         fleet.restart(maxOf(1, size / 10))
-        val after = fleet.cost(half).platformCallsPerSecond
-        fleet.outage(false)
-        val recovery = fleet.cost(RECOVERY).platformCallsPerSecond
+        val after = fleet.measureCost(half).platformCallsPerSecond
+        fleet.setOutage(false)
+        val recovery = fleet.measureCost(RECOVERY).platformCallsPerSecond
         fleet.publishOne()
-        val agreed = fleet.agree()?.let { number(it.toDouble(DurationUnit.SECONDS), 1) } ?: "not within 300 s"
+        val agreed =
+            fleet.awaitConvergence()?.let { number(it.toDouble(DurationUnit.SECONDS), 1) } ?: "not within 300 s"
         return listOf("$size", variant.name, number((before + after) / 2), number(recovery), agreed)
     }
 
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/FleetMeasurement.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/FleetMeasurement.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What one run of a fleet cost. */
+/** Load of a fleet run: platform calls of the whole fleet, and messages, bytes and CPU time per router. */
 internal class FleetCost(
     val platformCallsPerSecond: Double,
     val messagesPerRouterSecond: Double,
@@ -29,22 +29,22 @@
     private val fleet = VirtualFleet(SEED + size, plan)
     private val domains = if (size <= SMALL_FLEET) 4 else 6
 
-    /** Starts the fleet and waits until it agrees; returns how long that took. */
-    fun settle(): Duration? {
+    /** Starts the fleet and runs until it has converged; returns the time this took, or null past [SETTLE_LIMIT]. */
+    fun startAndConverge(): Duration? {
         repeat(size) { fleet.start("domain-${it % domains}") }
         fleet.platform.publish(catalogue(Generation(1)))
-        return fleet.runUntil(SETTLE_LIMIT, 1.seconds) { fleet.converged() }
+        return fleet.runUntil(SETTLE_LIMIT, 1.seconds) { fleet.hasConverged() }
     }
 
-    /** Lets [span] pass and returns what that cost. */
-    fun cost(span: Duration): FleetCost = cost { fleet.run(span) }
+    /** Runs for [span] and returns the cost. */
+    fun measureCost(span: Duration): FleetCost = measureCost { fleet.run(span) }
 
-    /** The cost of [span] with a note every [interval]. */
-    fun costOfPublishing(
+    /** Runs for [span], publishing a note every [interval], and returns the cost. */
+    fun measureCostOfPublishing(
         span: Duration,
         interval: Duration,
     ): FleetCost =
-        cost {
+        measureCost {
             repeat((span / interval).toInt()) {
                 publishOne()
                 fleet.run(interval)
@@ -52,9 +52,9 @@
         }
 
     /** Platform calls per second of virtual time while [action] runs. */
-    fun callsDuring(action: () -> Unit): Double = cost(action).platformCallsPerSecond
+    fun callsDuring(action: () -> Unit): Double = measureCost(action).platformCallsPerSecond
 
-    private fun cost(action: () -> Unit): FleetCost {
+    private fun measureCost(action: () -> Unit): FleetCost {
         val threads = ManagementFactory.getThreadMXBean()
         val start = fleet.scheduler.now
         val calls = fleet.platform.calls
@@ -65,13 +65,13 @@
         val seconds = (fleet.scheduler.now - start) / NANOS_PER_SECOND
         return FleetCost(
             (fleet.platform.calls - calls) / seconds,
-            OUT_AND_IN * (fleet.network.messages - messages) / seconds / size,
-            OUT_AND_IN * (fleet.network.bodyBytes - bytes) / seconds / size,
+            SENT_AND_RECEIVED * (fleet.network.messages - messages) / seconds / size,
+            SENT_AND_RECEIVED * (fleet.network.bodyBytes - bytes) / seconds / size,
             (threads.currentThreadCpuTime - cpu) / NANOS_PER_SECOND / seconds / size,
         )
     }
 
-    /** Publishes the next generation. */
+    /** Publishes a catalogue with the next generation. */
     fun publishOne() {
         fleet.platform.publish(
             catalogue(
@@ -81,7 +81,7 @@
         )
     }
 
-    /** Publishes [count] notes and returns the times from each to its being in force at each router, in microseconds. */
+    /** Publishes [count] notes and returns the times until each is in force on each router, in microseconds. */
     fun timesToInForce(count: Int): Histogram {
         val histogram = Histogram(HISTOGRAM_DIGITS)
         repeat(count) {
@@ -105,20 +105,20 @@
         }
     }
 
-    /** Takes the platform away, or gives it back. */
-    fun outage(on: Boolean) {
+    /** Starts or ends an outage of the platform. */
+    fun setOutage(on: Boolean) {
         fleet.platform.outage = on
     }
 
-    /** Ends [count] routers without a word and starts new ones at their addresses. */
+    /** Stops [count] random routers without notice and starts new ones at their addresses. */
     fun restart(count: Int) {
         repeat(count) { fleet.restart(fleet.routers[fleet.random.nextInt(fleet.routers.size)]) }
     }
 
-    /** Runs until all agree; null if they don't. */
-    fun agree(): Duration? = fleet.runUntil(SETTLE_LIMIT, 100.milliseconds) { fleet.converged() }
+    /** Runs until the fleet has converged; returns the time this took, or null past [SETTLE_LIMIT]. */
+    fun awaitConvergence(): Duration? = fleet.runUntil(SETTLE_LIMIT, 100.milliseconds) { fleet.hasConverged() }
 
-    /** Lets [span] pass. */
+    /** Runs for [span]. */
     fun run(span: Duration): Unit = fleet.run(span)
 
     private fun catalogue(generation: Generation): Catalogue {
@@ -143,7 +143,7 @@
         const val HISTOGRAM_DIGITS = 3
         const val LONGEST_GAP_MILLIS = 5_000
         const val SHORTEST_GAP_MILLIS = 500
-        const val OUT_AND_IN = 2
+        const val SENT_AND_RECEIVED = 2
         const val NANOS_PER_SECOND = 1e9
         const val NANOS_PER_MICROSECOND = 1_000
         val SETTLE_LIMIT: Duration = 300.seconds
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/MembershipExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/MembershipExperiment.kt
@@ -7,7 +7,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** What the membership costs each router, against the fleet's size. */
+/** Measures the cost of group membership per router for several fleet sizes. */
 internal class MembershipExperiment : Experiment {
     override val name = "membership"
     override val about = "Bytes, messages and processor time per router for membership at 5, 50 and 370 routers."
@@ -37,10 +37,11 @@
 
     private fun measure(size: Int): List<List<String>> {
         val fleet = FleetMeasurement(size)
-        val settled = fleet.settle()?.let { number(it.toDouble(DurationUnit.SECONDS), 0) } ?: "not within 300 s"
+        val settled =
+            fleet.startAndConverge()?.let { number(it.toDouble(DurationUnit.SECONDS), 0) } ?: "not within 300 s"
         fleet.run(WARM_UP)
-        val quiet = row(size, "quiet", fleet.cost(SPAN), settled)
-        val changes = fleet.costOfPublishing(SPAN, PUBLISHING_INTERVAL)
+        val quiet = row(size, "quiet", fleet.measureCost(SPAN), settled)
+        val changes = fleet.measureCostOfPublishing(SPAN, PUBLISHING_INTERVAL)
         return listOf(quiet, row(size, "a note every ${PUBLISHING_INTERVAL.inWholeSeconds} s", changes, "-"))
     }
 
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualFleet.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualFleet.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration
 
 /**
- * Routers' decisions over the real codec in virtual time; one seed gives one schedule.
+ * Simulates routers in virtual time with the production decisions and message codec. A seed determines the schedule.
  *
  * ```
  * val fleet = VirtualFleet(seed = 1)
@@ -26,13 +26,13 @@
     val platform = VirtualPlatform(scheduler, random)
     private val started = mutableListOf<VirtualRouter>()
 
-    /** Routers that haven't been stopped. */
+    /** Routers that have not been stopped. */
     val routers: List<VirtualRouter> get() = started.filter { !it.stopped }
 
-    /** Every router there ever was. */
+    /** Every router ever started, including stopped ones. */
     val allRouters: List<VirtualRouter> get() = started
 
-    /** Starts a router in [domain], at [address] or at a new one, that knows the first routers' addresses. */
+    /** Starts a router in [domain] at [address], with the addresses of the first routers as gossip seeds. */
     fun start(
         domain: String,
         address: String = "10.0.${started.size / ADDRESSES}.${started.size % ADDRESSES}:8081",
@@ -46,7 +46,7 @@
         return router
     }
 
-    /** Stops [router] without a word and starts another process at its address. */
+    /** Stops [router] without notice and starts a new one at its address. */
     fun restart(router: VirtualRouter): VirtualRouter {
         router.stop()
         return start(router.self.failureDomain.value, router.self.peerAddress)
@@ -54,27 +54,27 @@
 
     fun run(span: Duration): Unit = scheduler.run(span)
 
-    /** Whether every running router sees exactly the running ones and holds the platform's head. */
-    fun converged(): Boolean {
+    /** Whether every running router has exactly the running routers as members and the newest generation. */
+    fun hasConverged(): Boolean {
         val ids = routers.map { it.self.id.value }.sorted()
         return routers.all { it.memberIds == ids && it.generation == platform.head.generation }
     }
 
-    /** What every running router sees and holds, for the report of a failure. */
+    /** Describes the generation and members of every running router, for assertion messages. */
     fun describe(): String =
         routers.joinToString("\n", "head ${platform.head.generation}\n") { router ->
             "${router.self.id} at ${router.self.peerAddress}: generation ${router.generation}, sees ${router.memberIds}"
         }
 
-    /** Runs until [holds], at most for [longest], in [step]s; returns the time it took, or null. */
+    /** Runs in steps of [step] until [condition] holds; returns the time this took, or null once [limit] has passed. */
     fun runUntil(
-        longest: Duration,
+        limit: Duration,
         step: Duration,
-        holds: () -> Boolean,
+        condition: () -> Boolean,
     ): Duration? {
         var spent = Duration.ZERO
-        while (!holds()) {
-            if (spent >= longest) return null
+        while (!condition()) {
+            if (spent >= limit) return null
             run(step)
             spent += step
         }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualNetwork.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualNetwork.kt
@@ -11,11 +11,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * How badly the network behaves.
+ * Faults that the network injects.
  *
- * @property loss messages lost, from 0 to 1, in each direction.
- * @property duplication requests that arrive twice, from 0 to 1.
- * @property longestDelay one-way delay of the slowest message.
+ * @property loss share of messages lost in each direction, from 0 to 1.
+ * @property duplication share of messages delivered twice, from 0 to 1.
+ * @property longestDelay largest one-way delay of a message.
  */
 internal data class NetworkFaults(
     val loss: Double = 0.0,
@@ -23,13 +23,13 @@
     val longestDelay: Duration = 3.milliseconds,
 )
 
-/** A cut for messages from [from] to [to], failure domains by name; the other direction may still work. */
-internal data class Cut(
+/** Drops messages from failure domain [from] to failure domain [to]; the other direction is not affected. */
+internal data class DirectedPartition(
     val from: String,
     val to: String,
 )
 
-/** Carries signed messages between virtual routers, with delay, loss, duplication and cuts; counts their bytes. */
+/** Delivers signed messages between routers with delay, loss, duplication and partitions; counts their bytes. */
 internal class VirtualNetwork(
     private val scheduler: VirtualScheduler,
     private val random: UniformRandomProvider,
@@ -37,7 +37,7 @@
     private val keys = PeerKeyRing(listOf(PeerKey("0123456789abcdef")))
     private val routers = HashMap<String, VirtualRouter>()
     var faults = NetworkFaults()
-    val cuts = HashSet<Cut>()
+    val partitions = HashSet<DirectedPartition>()
     var messages = 0L
         private set
     var bodyBytes = 0L
@@ -47,7 +47,7 @@
         routers[router.self.peerAddress] = router
     }
 
-    /** Sends [body]; [done] gets the answer, or null when there is none in time. */
+    /** Sends [body] to [to]; [done] receives the response, or null after a timeout. */
     fun post(
         from: VirtualRouter,
         to: Member,
@@ -97,8 +97,8 @@
     ) {
         scheduler.after(delay()) {
             val receiver = routers[address] ?: return@after
-            val cut = Cut(from.failureDomain.value, receiver.self.failureDomain.value)
-            if (cut !in cuts) receiver.whenRunning { arrive(receiver) }
+            val link = DirectedPartition(from.failureDomain.value, receiver.self.failureDomain.value)
+            if (link !in partitions) receiver.whenRunning { arrive(receiver) }
         }
     }
 
@@ -109,7 +109,7 @@
 
     private fun wireBytes(text: String): Int {
         val bytes = text.toByteArray()
-        if (bytes.size < COMPRESSED_FROM_BYTES) return bytes.size
+        if (bytes.size < GZIP_MINIMUM_BYTES) return bytes.size
         val output = ByteArrayOutputStream()
         GZIPOutputStream(output).use { it.write(bytes) }
         return output.size()
@@ -117,7 +117,7 @@
 
     private companion object {
         const val NANOS_PER_MICROSECOND = 1_000L
-        const val COMPRESSED_FROM_BYTES = 4_096
+        const val GZIP_MINIMUM_BYTES = 4_096
         val SHORTEST_DELAY: Duration = 1.milliseconds
         val TIMEOUT: Duration = 500.milliseconds
     }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualRouter.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualRouter.kt
@@ -18,7 +18,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The decisions of one router, run in virtual time over a [VirtualNetwork]. */
+/** Runs the membership, gossip and watch logic of one router in virtual time over a [VirtualNetwork]. */
 internal class VirtualRouter(
     val self: Member,
     seeds: List<String>,
@@ -34,15 +34,15 @@
         object : ConfigurationHolder {
             override val catalogue: Catalogue get() = catalogues.catalogue
 
-            override fun offer(catalogue: Catalogue): Boolean = catalogues.offer(catalogue).also { noteGeneration() }
+            override fun offer(catalogue: Catalogue): Boolean = catalogues.offer(catalogue).also { recordGeneration() }
         }
     private val exchange = GossipExchange(membership, holder, freshness)
     private val schedule = WatchSchedule(plan, random, now)
     private val deferred = mutableListOf<() -> Unit>()
     private var seen: Catalogue? = null
-    private var callUnderWay = false
+    private var isCallInProgress = false
 
-    /** Generations in the order in which they came in force, with the times. */
+    /** Generations in the order in which this router put them in force, with the times. */
     val inForce = mutableListOf<InForce>()
 
     var paused = false
@@ -59,7 +59,7 @@
         val at: Long,
     )
 
-    private fun noteGeneration() {
+    private fun recordGeneration() {
         if (inForce.lastOrNull()?.generation != generation) inForce += InForce(generation, now)
     }
 
@@ -76,12 +76,12 @@
         deferred.toList().also { deferred.clear() }.forEach { it() }
     }
 
-    /** Ends the process without a word. */
+    /** Stops the router without notifying its peers. */
     fun stop() {
         stopped = true
     }
 
-    /** Runs [action] now, or when the pause is over; never once stopped. */
+    /** Runs [action] now, or on [resume] while the router is paused; drops it once the router is stopped. */
     fun whenRunning(action: () -> Unit) {
         when {
             stopped -> Unit
@@ -94,12 +94,12 @@
         if (stopped) return
         if (!paused) {
             exchange.tick(now).forEach(::send)
-            if (!callUnderWay) callPlatform()
+            if (!isCallInProgress) callPlatform()
         }
         fleet.scheduler.after(TICK_MILLIS.milliseconds, ::tick)
     }
 
-    /** Serves a message; [answer] isn't called when it can't be read. */
+    /** Serves a message of a peer; [answer] receives the response and is not called for an unknown [path]. */
     fun serve(
         path: String,
         body: String,
@@ -138,20 +138,20 @@
         val domain = self.failureDomain.value
         val askedAt = now
         val call = schedule.next(now, membership.view)
-        callUnderWay = call != WatchCall.NONE
+        isCallInProgress = call != WatchCall.NONE
         when (call) {
             WatchCall.NONE -> Unit
             WatchCall.READ -> read(domain, askedAt)
-            WatchCall.WATCH -> fleet.platform.watch(domain, seen) { whenRunning { watched(domain, askedAt, it) } }
+            WatchCall.WATCH -> fleet.platform.watch(domain, seen) { whenRunning { onWatchEnd(domain, askedAt, it) } }
         }
     }
 
     private fun read(
         domain: String,
         askedAt: Long,
-    ): Unit = fleet.platform.read(domain) { whenRunning { headRead(askedAt, it) } }
+    ): Unit = fleet.platform.read(domain) { whenRunning { onHeadRead(askedAt, it) } }
 
-    private fun watched(
+    private fun onWatchEnd(
         domain: String,
         askedAt: Long,
         changed: Boolean?,
@@ -161,10 +161,10 @@
             false -> seen?.let { freshness.recordConfirmation(it.generation, askedAt) }
             null -> Unit
         }
-        ended(changed != null)
+        completeCall(changed != null)
     }
 
-    private fun headRead(
+    private fun onHeadRead(
         askedAt: Long,
         head: Catalogue?,
     ) {
@@ -173,11 +173,11 @@
             holder.offer(head)
             freshness.recordConfirmation(head.generation, askedAt)
         }
-        ended(head != null)
+        completeCall(head != null)
     }
 
-    private fun ended(answered: Boolean) {
-        callUnderWay = false
+    private fun completeCall(answered: Boolean) {
+        isCallInProgress = false
         if (answered) schedule.succeeded(now, membership.view.members.size, stale) else schedule.failed(now)
     }
 
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualScheduler.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualScheduler.kt
@@ -25,7 +25,7 @@
         queue += Event(now + delay.inWholeNanoseconds, sequence++, action)
     }
 
-    /** Runs everything due within the next [span]. */
+    /** Runs all actions due within the next [span] and advances the time by it. */
     fun run(span: Duration) {
         val end = now + span.inWholeNanoseconds
         while (true) {
