--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/capacity/ProcessCost.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/capacity/ProcessCost.kt
@@ -5,9 +5,9 @@
 import kotlin.time.Duration
 import kotlin.time.toKotlinDuration
 
-/** What a process has cost so far, as the kernel counts it (`/proc` on Linux). */
+/** CPU time and memory use of a process as accounted by the kernel; memory is read from `/proc` on Linux. */
 public object ProcessCost {
-    /** Processor time of [process] since its start. */
+    /** CPU time that [process] has used since its start. */
     public fun processorTime(process: ProcessHandle): Duration =
         checkNotNull(process.info().totalCpuDuration().getOrNull()) { "no processor time for ${process.pid()}" }
             .toKotlinDuration()
