--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
@@ -26,23 +26,23 @@
 import kotlin.math.ln
 
 /**
- * What a [ClaimLoad] does.
+ * Parameters of a [ClaimLoad].
  *
- * @property claimsPerSecond non-idempotent calls a second over the whole fleet.
- * @property dated whether keys are version 7 UUIDs.
- * @property relayed part of the operations that reach the shard's owner; the rest is written by other routers.
- * @property outage seconds of virtual time in which the platform is down; empty for none.
+ * @property claimsPerSecond non-idempotent calls per second in the whole fleet.
+ * @property hasTimestampedKeys whether idempotency keys are version 7 UUIDs, which carry a timestamp.
+ * @property ownerShare share of the operations that reach the router owning the shard; other routers write the rest.
+ * @property outage seconds of virtual time in which the platform is isOutage; empty for none.
  */
 internal data class ClaimLoadPlan(
     val claimsPerSecond: Double,
-    val dated: Boolean = true,
-    val relayed: Double = 1.0,
+    val hasTimestampedKeys: Boolean = true,
+    val ownerShare: Double = 1.0,
     val outage: IntRange = IntRange.EMPTY,
     val seconds: Int = 120,
     val routers: Int = 370,
 )
 
-/** What a [ClaimLoad] measured. */
+/** Measurements of a [ClaimLoad]; arrays are indexed by the second of virtual time. */
 internal class ClaimLoadResult(
     val writesBySecond: IntArray,
     val readsBySecond: IntArray,
@@ -54,7 +54,7 @@
     val bytesPerClaim: Double,
 )
 
-/** Drives the real shard writers in virtual time against a platform that answers every call in five milliseconds. */
+/** Drives the production shard writers in virtual time against a platform that answers each call in 5 ms. */
 internal class ClaimLoad(
     private val plan: ClaimLoadPlan,
 ) {
@@ -63,24 +63,24 @@
         val version: Long,
     )
 
-    private class Token(
+    private class PendingOperation(
         val claimedAt: Long,
         val operation: ClaimOperation,
     )
 
-    private class Timed(
+    private class ScheduledAction(
         val at: Long,
-        val order: Long,
+        val sequence: Long,
         val action: () -> Unit,
     )
 
     private var now = 0L
-    private var order = 0L
+    private var sequence = 0L
     private val random = Random(SEED)
-    private val timeline = PriorityQueue<Timed>(compareBy({ it.at }, { it.order }))
+    private val timeline = PriorityQueue<ScheduledAction>(compareBy({ it.at }, { it.sequence }))
     private val objects = HashMap<ClaimShard, Stored>()
-    private val writers = HashMap<WriterKey, Driver>()
-    private val processes = HashMap<Int, Process>()
+    private val writers = HashMap<WriterKey, WriterDriver>()
+    private val limitsByRouter = HashMap<Int, RouterLimits>()
     private val writes = IntArray(plan.seconds + 1)
     private val reads = IntArray(plan.seconds + 1)
     private val settled = IntArray(plan.seconds + 1)
@@ -94,69 +94,70 @@
         val router: Int,
     )
 
-    /** One router's guards. */
-    private inner class Process {
+    /** Circuit breaker and platform call budgets of one router. */
+    private inner class RouterLimits {
         val clock = NanoClock { now }
         val breaker = CircuitBreaker(clock, kotlin.random.Random(random.nextInt()))
-        val writes = CallBudget(clock, BURST) { WRITES_PER_SECOND / plan.routers }
-        val reads = CallBudget(clock, BURST) { READS_PER_SECOND / plan.routers }
+        val writes = CallBudget(clock, CALL_BURST) { WRITES_PER_SECOND / plan.routers }
+        val reads = CallBudget(clock, CALL_BURST) { READS_PER_SECOND / plan.routers }
     }
 
-    private inner class Driver(
+    private inner class WriterDriver(
         val shard: ClaimShard,
         router: Int,
     ) {
-        val writer = ShardWriter<Token>(ShardWriterLimits(), RandomSource.SPLIT_MIX_64.create(random.nextLong()))
-        private val process = processes.getOrPut(router) { Process() }
-        private val inbox = ArrayList<Token>()
-        private var busy = false
+        val writer =
+            ShardWriter<PendingOperation>(ShardWriterLimits(), RandomSource.SPLIT_MIX_64.create(random.nextLong()))
+        private val limits = limitsByRouter.getOrPut(router) { RouterLimits() }
+        private val inbox = ArrayList<PendingOperation>()
+        private var isCallInProgress = false
         private var wakeAt = Long.MAX_VALUE
 
-        fun submit(token: Token) {
+        fun submit(token: PendingOperation) {
             inbox += token
-            pump()
+            advance()
         }
 
-        private fun pump() {
-            if (busy) return
+        private fun advance() {
+            if (isCallInProgress) return
             inbox.forEach { writer.submit(it.operation, it, now) }
             inbox.clear()
             when (val step = writer.next(now, now / NANOS_PER_MILLI)) {
                 ShardStep.Idle -> Unit
                 is ShardStep.Wait -> wake(step.until)
-                ShardStep.Read -> call(process.reads, reads) { read() }
-                is ShardStep.Write -> call(process.writes, writes) { write(step) }
+                ShardStep.Read -> call(limits.reads, reads) { read() }
+                is ShardStep.Write -> call(limits.writes, writes) { write(step) }
             }
-            writer.drainSettled().forEach { ended(shard, it.token) }
+            writer.drainSettled().forEach { onSettled(shard, it.token) }
         }
 
         private fun wake(at: Long) {
             if (wakeAt in (now + 1)..at) return
             wakeAt = at
-            schedule(at) { pump() }
+            schedule(at) { advance() }
         }
 
         private fun call(
             budget: CallBudget,
-            counted: IntArray,
+            callsBySecond: IntArray,
             action: () -> Unit,
         ) {
             val pause = budget.tryTake().inWholeNanoseconds
-            if (pause > 0) return schedule(now + pause) { pump() }
-            if (!process.breaker.tryPass()) return schedule(now + BREAKER_POLL_NANOS) { pump() }
-            counted[second()]++
-            busy = true
-            val down = second() in plan.outage
-            schedule(now + if (down) LOST_CALL_NANOS else CALL_NANOS) {
-                busy = false
-                if (down) {
-                    process.breaker.reportFailure()
+            if (pause > 0) return schedule(now + pause) { advance() }
+            if (!limits.breaker.tryPass()) return schedule(now + BREAKER_POLL_NANOS) { advance() }
+            callsBySecond[second()]++
+            isCallInProgress = true
+            val isOutage = second() in plan.outage
+            schedule(now + if (isOutage) CALL_TIMEOUT_NANOS else CALL_LATENCY_NANOS) {
+                isCallInProgress = false
+                if (isOutage) {
+                    limits.breaker.reportFailure()
                     writer.onFailure(now)
                 } else {
-                    if (process.breaker.reportAnswer()) process.writes.empty()
+                    if (limits.breaker.reportAnswer()) limits.writes.empty()
                     action()
                 }
-                pump()
+                advance()
             }
         }
 
@@ -184,8 +185,8 @@
             now = next.at
             next.action()
         }
-        val kept = objects.values.sumOf { it.text.length }.toDouble() / maxOf(claims, 1)
-        return ClaimLoadResult(writes, reads, settled, latency, bytes, claims, largest, kept)
+        val storedBytesPerClaim = objects.values.sumOf { it.text.length }.toDouble() / maxOf(claims, 1)
+        return ClaimLoadResult(writes, reads, settled, latency, bytes, claims, largest, storedBytesPerClaim)
     }
 
     private fun arrive() {
@@ -202,32 +203,32 @@
         val placement = ClaimPlacement.of(key, now / NANOS_PER_MILLI) as ClaimPlacement.InShard
         val attempt = Attempt(RouterId("west-1f2e3d4c5b6a7980"), claims.toLong())
         val claim = ClaimOperation.Claim(key.digest, attempt, Digest.of(byteArrayOf(1)), now / NANOS_PER_MILLI)
-        driver(placement.shard).submit(Token(now, claim))
+        driver(placement.shard).submit(PendingOperation(now, claim))
     }
 
     private fun keyText(): String {
-        if (!plan.dated) return "order-$claims"
+        if (!plan.hasTimestampedKeys) return "order-$claims"
         val time = "%012x".format(now / NANOS_PER_MILLI)
         return "${time.take(8)}-${time.drop(8)}-7000-8000-${"%012x".format(claims)}"
     }
 
-    private fun driver(shard: ClaimShard): Driver {
+    private fun driver(shard: ClaimShard): WriterDriver {
         val owner = shard.hashCode().mod(plan.routers)
-        val router = if (random.nextDouble() < plan.relayed) owner else random.nextInt(plan.routers)
-        return writers.getOrPut(WriterKey(shard, router)) { Driver(shard, router) }
+        val router = if (random.nextDouble() < plan.ownerShare) owner else random.nextInt(plan.routers)
+        return writers.getOrPut(WriterKey(shard, router)) { WriterDriver(shard, router) }
     }
 
-    private fun ended(
+    private fun onSettled(
         shard: ClaimShard,
-        token: Token,
+        token: PendingOperation,
     ) {
         val claim = token.operation as? ClaimOperation.Claim ?: return
         latency.recordValue((now - token.claimedAt) / NANOS_PER_MICRO)
         settled[second()]++
-        val service = (-ln(1 - random.nextDouble()) * SERVICE_NANOS).toLong()
+        val service = (-ln(1 - random.nextDouble()) * MEAN_SERVICE_NANOS).toLong()
         schedule(now + service) {
             val finish = ClaimOperation.Finish(claim.key, claim.attempt, Outcome.RAN, ANSWER)
-            driver(shard).submit(Token(now, finish))
+            driver(shard).submit(PendingOperation(now, finish))
         }
     }
 
@@ -237,7 +238,7 @@
         at: Long,
         action: () -> Unit,
     ) {
-        timeline += Timed(at, order++, action)
+        timeline += ScheduledAction(at, sequence++, action)
     }
 
     private companion object {
@@ -245,12 +246,12 @@
         const val NANOS_PER_MICRO = 1_000L
         const val NANOS_PER_MILLI = 1_000_000L
         const val NANOS_PER_SECOND = 1_000_000_000L
-        const val CALL_NANOS = 5 * NANOS_PER_MILLI
-        const val LOST_CALL_NANOS = 2 * NANOS_PER_SECOND
+        const val CALL_LATENCY_NANOS = 5 * NANOS_PER_MILLI
+        const val CALL_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND
         const val BREAKER_POLL_NANOS = 100 * NANOS_PER_MILLI
-        const val SERVICE_NANOS = 300.0 * NANOS_PER_MILLI
+        const val MEAN_SERVICE_NANOS = 300.0 * NANOS_PER_MILLI
         const val HIGHEST_MICROS = 600_000_000L
-        const val BURST = 100.0
+        const val CALL_BURST = 100.0
         const val WRITES_PER_SECOND = 200.0
         const val READS_PER_SECOND = 1_500.0
         const val ANSWER_BYTES = 200
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimsExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimsExperiment.kt
@@ -6,7 +6,7 @@
 import dev.almondhaven.experiments.PlotPoint
 import dev.almondhaven.experiments.PlotSeries
 
-/** Platform writes, latency, bytes and recovery of claims, in virtual time with the real shard writers. */
+/** Measures platform writes, latency, bytes and outage recovery of idempotency claims in virtual time. */
 internal class ClaimsExperiment : Experiment {
     override val name = "claims"
     override val about = "Platform writes for claims and billing against the request rate, latency, recovery, bytes."
@@ -18,26 +18,38 @@
                 "(exponential) and have answers of 200 bytes. All writes are claims, billing (one writer for " +
                 "each of 6 failure domains, one write a second) and the deletion of expired shards.",
         )
-        byRate(report)
-        byReach(report)
-        recovery(report)
+        reportByRequestRate(report)
+        reportByOwnerShare(report)
+        reportRecovery(report)
     }
 
-    private fun byRate(report: ExperimentReport) {
-        val results = RATES.associateWith { ClaimLoad(ClaimLoadPlan(it * NON_IDEMPOTENT)).run() }
-        report.table("Against the request rate, keys that are version 7 UUIDs", COLUMNS, results.map { row(it) })
+    private fun reportByRequestRate(report: ExperimentReport) {
+        val timestampedResults = RATES.associateWith { ClaimLoad(ClaimLoadPlan(it * NON_IDEMPOTENT_SHARE)).run() }
+        report.table(
+            "Against the request rate, keys that are version 7 UUIDs",
+            COLUMNS,
+            timestampedResults.map { row(it) },
+        )
         report.plot(
             "writes",
             "Platform writes a second",
             "requests/s",
             "writes/s",
             listOf(
-                PlotSeries("claims", results.map { (rate, result) -> PlotPoint(rate, writesPerSecond(result)) }),
-                PlotSeries("all", results.map { (rate, result) -> PlotPoint(rate, allWrites(result)) }),
+                PlotSeries(
+                    "claims",
+                    timestampedResults.map { (rate, result) ->
+                        PlotPoint(rate, writesPerSecond(result))
+                    },
+                ),
+                PlotSeries("all", timestampedResults.map { (rate, result) -> PlotPoint(rate, allWrites(result)) }),
             ),
         )
-        val undated = RATES.associateWith { ClaimLoad(ClaimLoadPlan(it * NON_IDEMPOTENT, dated = false)).run() }
-        report.table("Against the request rate, keys of any other form", COLUMNS, undated.map { row(it) })
+        val otherResults =
+            RATES.associateWith {
+                ClaimLoad(ClaimLoadPlan(it * NON_IDEMPOTENT_SHARE, hasTimestampedKeys = false)).run()
+            }
+        report.table("Against the request rate, keys of any other form", COLUMNS, otherResults.map { row(it) })
     }
 
     private fun row(entry: Map.Entry<Double, ClaimLoadResult>): List<String> {
@@ -48,19 +60,19 @@
             number(allWrites(result), 1),
             number(result.writesBySecond.sum().toDouble() / result.claims, 2),
             number(allWrites(result) / rate, 4),
-            number(result.latencyMicros.getValueAtPercentile(MEDIAN) / MICROS_PER_MILLI, 1),
-            number(result.latencyMicros.getValueAtPercentile(HIGH) / MICROS_PER_MILLI, 1),
+            number(result.latencyMicros.getValueAtPercentile(P50) / MICROS_PER_MILLI, 1),
+            number(result.latencyMicros.getValueAtPercentile(P99) / MICROS_PER_MILLI, 1),
             number(result.bytesPerClaim, 0),
             "${result.largestObject}",
-            number(result.bytesWritten / SECONDS / KILO, 1),
+            number(result.bytesWritten / SECONDS / BYTES_PER_KILOBYTE, 1),
         )
     }
 
-    private fun byReach(report: ExperimentReport) {
+    private fun reportByOwnerShare(report: ExperimentReport) {
         val rows =
-            listOf(1.0, 0.9, 0.5).map { reach ->
-                val result = ClaimLoad(ClaimLoadPlan(PEAK * NON_IDEMPOTENT, relayed = reach)).run()
-                listOf(number(reach * PERCENT, 0)) + row(mapOf(PEAK to result).entries.first()).drop(1)
+            listOf(1.0, 0.9, 0.5).map { ownerShare ->
+                val result = ClaimLoad(ClaimLoadPlan(PEAK_RATE * NON_IDEMPOTENT_SHARE, ownerShare = ownerShare)).run()
+                listOf(number(ownerShare * PERCENT, 0)) + row(mapOf(PEAK_RATE to result).entries.first()).drop(1)
             }
         report.table(
             "Part of the operations that reach the shard's owner, at 4,200 requests/s",
@@ -69,13 +81,13 @@
         )
     }
 
-    private fun recovery(report: ExperimentReport) {
+    private fun reportRecovery(report: ExperimentReport) {
         val outage = 30..59
-        val result = ClaimLoad(ClaimLoadPlan(PEAK * NON_IDEMPOTENT, outage = outage, seconds = 180)).run()
+        val result = ClaimLoad(ClaimLoadPlan(PEAK_RATE * NON_IDEMPOTENT_SHARE, outage = outage, seconds = 180)).run()
         val after = result.writesBySecond.drop(outage.last + 1)
-        val claimRate = PEAK * NON_IDEMPOTENT
+        val claimRate = PEAK_RATE * NON_IDEMPOTENT_SHARE
         val calls = outage.map { result.writesBySecond[it] + result.readsBySecond[it] }.average()
-        val caughtUp = (outage.last + 1..179).firstOrNull { result.settledBySecond[it] >= claimRate * CAUGHT_UP }
+        val caughtUp = (outage.last + 1..179).firstOrNull { result.settledBySecond[it] >= claimRate * CAUGHT_UP_SHARE }
         report.table(
             "An outage of 30 s at 4,200 requests/s",
             listOf("what", "value"),
@@ -90,7 +102,8 @@
 
     private fun writesPerSecond(result: ClaimLoadResult) = result.writesBySecond.sum() / SECONDS
 
-    private fun allWrites(result: ClaimLoadResult) = writesPerSecond(result) + BILLING_WRITES + DELETIONS
+    private fun allWrites(result: ClaimLoadResult) =
+        writesPerSecond(result) + BILLING_WRITES_PER_SECOND + SHARD_DELETIONS_PER_SECOND
 
     private fun number(
         value: Double,
@@ -112,16 +125,17 @@
                 "largest object",
                 "KB/s written",
             )
-        const val PEAK = 4_200.0
-        const val NON_IDEMPOTENT = 0.05
+        const val PEAK_RATE = 4_200.0
+        const val NON_IDEMPOTENT_SHARE = 0.05
         const val SECONDS = 120.0
-        const val BILLING_WRITES = 6.0
+        const val BILLING_WRITES_PER_SECOND = 6.0
         const val MICROS_PER_MILLI = 1_000.0
-        const val MEDIAN = 50.0
-        const val HIGH = 99.0
-        const val KILO = 1_000.0
+        const val P50 = 50.0
+        const val P99 = 99.0
+        const val BYTES_PER_KILOBYTE = 1_000.0
         const val PERCENT = 100.0
-        const val CAUGHT_UP = 0.9
-        val DELETIONS = ClaimPlacement.SHARDS_PER_PERIOD / (ClaimPlacement.PERIOD.inWholeMilliseconds / 1_000.0)
+        const val CAUGHT_UP_SHARE = 0.9
+        val SHARD_DELETIONS_PER_SECOND =
+            ClaimPlacement.SHARDS_PER_PERIOD / (ClaimPlacement.PERIOD.inWholeMilliseconds / 1_000.0)
     }
 }
