--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/configuration/PublishingExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/configuration/PublishingExperiment.kt
@@ -25,13 +25,13 @@
 import kotlinx.serialization.json.Json
 import org.HdrHistogram.Histogram
 
-/** What publishing costs the platform, how long it takes, and how large the configuration grows. */
+/** Measures platform calls and time per publication, and the bytes of the stored configuration by its size. */
 public class PublishingExperiment : Experiment {
     override val name: String = "publishing"
     override val about: String = "platform calls and time per publication, bytes of the configuration by its size"
 
     override fun run(report: ExperimentReport) {
-        report.table("Platform calls per publication", CALL_COLUMNS, FAULTS.map { calls(it) })
+        report.table("Platform calls per publication", CALL_COLUMNS, FAULTS.map { measureCalls(it) })
         report.text(
             "$PUBLICATIONS publications of small notes for each row, one after the other, seed $SEED, at most " +
                 "$ATTEMPTS tries each. 'Not published' and 'unsettled' are what a publisher was told. 'Told wrong' " +
@@ -40,9 +40,9 @@
         report.table(
             "Time per publication over HTTP on loopback",
             listOf("p50 ms", "p99 ms", "max ms"),
-            listOf(latency()),
+            listOf(measureLatency()),
         )
-        report.table("Size of the configuration", SIZE_COLUMNS, SIZES.map { size(it) })
+        report.table("Size of the configuration", SIZE_COLUMNS, SIZES.map { measureSize(it) })
         report.text(
             "The head holds the snapshot and its newest entry in full. 'First' is the head behind one note that " +
                 "adds everything, 'later' the head behind a further small note. The limit is " +
@@ -55,7 +55,7 @@
         val faults: ObjectStoreFaults,
     )
 
-    private class Size(
+    private class ConfigurationSize(
         val title: String,
         val domains: Int,
         val versions: Int,
@@ -65,9 +65,9 @@
 
     private fun entry(note: ReleaseNote) = ConfigurationEntry.NotePublished(note)
 
-    private fun small(id: String): ReleaseNote = releaseNote(id) { failureDomain(id, region = "wales") }
+    private fun smallNote(id: String): ReleaseNote = releaseNote(id) { failureDomain(id, region = "wales") }
 
-    private fun calls(row: FaultRow): List<String> {
+    private fun measureCalls(row: FaultRow): List<String> {
         val inner = InMemoryObjectStore()
         val objects = FaultyObjectStore(inner, SEED, row.faults)
         val store = ConfigurationStore(objects, RetryPause.immediate(ATTEMPTS))
@@ -75,7 +75,7 @@
         val results =
             List(PUBLICATIONS) { index ->
                 val before = objects.calls
-                val result = store.publish(entry(small("note-$index")), PUBLISHER)
+                val result = store.publish(entry(smallNote("note-$index")), PUBLISHER)
                 histogram.recordValue(objects.calls - before)
                 result
             }
@@ -88,11 +88,12 @@
             "${results.count { it.isRight() }}",
             "${results.count { it.isLeft() && it.leftOrNull() !is PublishError.Unsettled }}",
             "${results.count { it.leftOrNull() is PublishError.Unsettled }}",
-            "${toldWrong(inner, results)}",
+            "${countWrongResults(inner, results)}",
         )
     }
 
-    private fun toldWrong(
+    /** Counts results that contradict the stored configuration; unsettled publications claim nothing. */
+    private fun countWrongResults(
         objects: ObjectStore,
         results: List<Either<PublishError, Accepted>>,
     ): Int {
@@ -107,14 +108,14 @@
         }
     }
 
-    private fun latency(): List<String> =
+    private fun measureLatency(): List<String> =
         StandInServer.start { ObjectStoreServer(InMemoryObjectStore()).addTo(it) }.use { server ->
             val store = ConfigurationStore(HttpObjectStore(server.address))
             val histogram = Histogram(HISTOGRAM_DIGITS)
             repeat(PUBLICATIONS) { index ->
                 val start = System.nanoTime()
                 check(
-                    store.publish(entry(small("note-$index")), PUBLISHER).isRight(),
+                    store.publish(entry(smallNote("note-$index")), PUBLISHER).isRight(),
                 ) { "note-$index was not accepted" }
                 if (index >= WARM_UP) histogram.recordValue(System.nanoTime() - start)
             }
@@ -122,13 +123,13 @@
                 .map { number(it / NANOS_PER_MILLISECOND) }
         }
 
-    private fun size(size: Size): List<String> {
+    private fun measureSize(size: ConfigurationSize): List<String> {
         val note = noteOf(size)
         val objects = InMemoryObjectStore()
         val store = ConfigurationStore(objects)
         check(store.publish(entry(note), PUBLISHER).isRight()) { "${size.title} was not accepted" }
         val first = headBytes(objects)
-        check(store.publish(entry(small("later")), PUBLISHER).isRight()) { "the later note was not accepted" }
+        check(store.publish(entry(smallNote("later")), PUBLISHER).isRight()) { "the later note was not accepted" }
         val catalogue = checkNotNull(store.head().getOrNull()).head.catalogue
         val snapshot = Json.encodeToString(Catalogue.serializer(), catalogue).toByteArray().size
         return listOf(
@@ -140,28 +141,28 @@
             "$snapshot",
             "$first",
             "${headBytes(objects)}",
-            number(foldMillis(catalogue)),
+            number(measureFoldMillis(catalogue)),
         )
     }
 
     private fun headBytes(objects: ObjectStore): Int =
         checkNotNull(objects.get(ConfigurationStore.HEAD_KEY).getOrNull()).value.toByteArray().size
 
-    /** Median time to decode a head, fold a small note on it and encode it, as each publication does. */
-    private fun foldMillis(catalogue: Catalogue): Double {
+    /** Median time to decode a head, apply a small note to it and encode it again, as every publication does. */
+    private fun measureFoldMillis(catalogue: Catalogue): Double {
         val text = Json.encodeToString(ConfigurationHead.serializer(), ConfigurationHead(catalogue))
         val times = Histogram(HISTOGRAM_DIGITS)
         repeat(FOLDS) { index ->
             val start = System.nanoTime()
             val head = ConfigurationStore.decode(text)
-            val folded = checkNotNull(head.catalogue.accept(entry(small("fold-$index"))).getOrNull())
+            val folded = checkNotNull(head.catalogue.accept(entry(smallNote("fold-$index"))).getOrNull())
             Json.encodeToString(ConfigurationHead.serializer(), ConfigurationHead(folded))
             if (index >= FOLDS / 2) times.recordValue(System.nanoTime() - start)
         }
         return times.getValueAtPercentile(P50) / NANOS_PER_MILLISECOND
     }
 
-    private fun noteOf(size: Size): ReleaseNote =
+    private fun noteOf(size: ConfigurationSize): ReleaseNote =
         releaseNote("everything") {
             repeat(size.domains) { failureDomain("domain-$it", region = "region-${it % REGIONS}") }
             repeat(size.versions) { index ->
@@ -220,17 +221,23 @@
             )
         val SIZES =
             listOf(
-                Size("today", domains = 4, versions = 4, organisations = 10, endpoints = 12),
-                Size("ten times today's endpoints", domains = 4, versions = 4, organisations = 10, endpoints = 120),
-                Size("two years on", domains = 6, versions = 9, organisations = 20, endpoints = 780),
-                Size(
+                ConfigurationSize("today", domains = 4, versions = 4, organisations = 10, endpoints = 12),
+                ConfigurationSize(
+                    "ten times today's endpoints",
+                    domains = 4,
+                    versions = 4,
+                    organisations = 10,
+                    endpoints = 120,
+                ),
+                ConfigurationSize("two years on", domains = 6, versions = 9, organisations = 20, endpoints = 780),
+                ConfigurationSize(
                     "two years on, 200 organisations",
                     domains = 6,
                     versions = 9,
                     organisations = 200,
                     endpoints = 780,
                 ),
-                Size("twice that", domains = 6, versions = 18, organisations = 200, endpoints = 1_560),
+                ConfigurationSize("twice that", domains = 6, versions = 18, organisations = 200, endpoints = 1_560),
             )
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/configuration/SessionExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/configuration/SessionExperiment.kt
@@ -18,7 +18,7 @@
 import dev.almondhaven.model.SessionId
 import kotlin.time.Duration.Companion.days
 
-/** What keeping a session on its version costs a request. */
+/** Measures the CPU time per request of keeping a session on its model version. */
 public class SessionExperiment : Experiment {
     override val name: String = "sessions"
     override val about: String = "processor time per session token and per decision on a session's version"
@@ -34,14 +34,14 @@
     private val token = tokens.issue(pin)
 
     override fun run(report: ExperimentReport) {
-        val kept = index(links = 0)
-        val moved = index(links = LONGEST_CHAIN)
+        val unchangedIndex = index(links = 0)
+        val successorIndex = index(links = SUCCESSOR_CHAIN_LENGTH)
         val rows =
             listOf(
                 row("issue a token") { tokens.issue(pin).length },
                 row("verify a token") { tokens.verify(token, organisation, now = 2_000).hashCode() },
-                row("keep a version in service") { resolve(kept) },
-                row("follow $LONGEST_CHAIN successors") { resolve(moved) },
+                row("keep a version in service") { resolve(unchangedIndex) },
+                row("follow $SUCCESSOR_CHAIN_LENGTH successors") { resolve(successorIndex) },
             )
         report.table("Processor time of one thread", listOf("operation", "ns per operation"), rows)
         report.text("A token for a session id of 36 characters has ${token.length} bytes. Best of $ROUNDS rounds.")
@@ -50,7 +50,7 @@
     private fun resolve(index: CatalogueIndex): Int =
         SessionVersionResolver.resolve(index, organisation, pin.version).hashCode()
 
-    /** A catalogue in which the pinned version has [links] withdrawn versions before one in service. */
+    /** A catalogue in which the pinned version heads a chain of [links] withdrawn versions before one in service. */
     private fun index(links: Int): CatalogueIndex {
         val added =
             releaseNote("added") {
@@ -61,7 +61,9 @@
             releaseNote("withdrawn") { repeat(links) { withdraw("slate-large", "${it + 3}", successor = "${it + 4}") } }
         val catalogue =
             listOf(added, withdrawn).fold(Catalogue.EMPTY) { folded, note ->
-                checkNotNull(folded.accept(ConfigurationEntry.NotePublished(note)).getOrNull()) { "wrong: ${note.id}" }
+                checkNotNull(folded.accept(ConfigurationEntry.NotePublished(note)).getOrNull()) {
+                    "note ${note.id} was not accepted"
+                }
             }
         return CatalogueIndex.of(catalogue)
     }
@@ -77,14 +79,15 @@
                 repeat(OPERATIONS) { sink += run() }
                 (System.nanoTime() - start).toDouble() / OPERATIONS
             }
-        check(sink != UNLIKELY) { "the result has to be used" }
+        // Reading the sum keeps the JIT compiler from removing the operations.
+        check(sink != UNLIKELY_SUM) { "the result has to be used" }
         return listOf(operation, number(best, digits = 0))
     }
 
     private companion object {
         const val ROUNDS = 8
         const val OPERATIONS = 50_000
-        const val LONGEST_CHAIN = 8
-        const val UNLIKELY = 1
+        const val SUCCESSOR_CHAIN_LENGTH = 8
+        const val UNLIKELY_SUM = 1
     }
 }
