--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/overhead/ClosedLoopLoad.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/overhead/ClosedLoopLoad.kt
@@ -11,9 +11,9 @@
 import kotlin.time.Duration.Companion.nanoseconds
 
 /**
- * What a load run saw.
+ * The result of a load run.
  *
- * @property latency latencies in nanoseconds.
+ * @property latency latencies in nanoseconds, including those of failed requests.
  */
 public class LoadResult(
     public val latency: Histogram,
@@ -28,7 +28,7 @@
     }
 }
 
-/** Sends requests for a fixed time with a fixed number in flight, each worker waiting for its answer. */
+/** Closed-loop load generator: each worker sends its next request when the response to the previous one has arrived. */
 public class ClosedLoopLoad(
     private val client: WebClient,
     private val request: () -> HttpRequest,
@@ -38,7 +38,7 @@
         time: Duration,
         concurrency: Int,
     ): LoadResult {
-        val latency = ConcurrentHistogram(HIGHEST_NANOS, DIGITS)
+        val latency = ConcurrentHistogram(HIGHEST_NANOS, HISTOGRAM_DIGITS)
         val failures = AtomicInteger()
         val started = System.nanoTime()
         val end = started + time.inWholeNanoseconds
@@ -53,11 +53,11 @@
         failures: AtomicInteger,
     ): CompletableFuture<Void> {
         val done = CompletableFuture<Void>()
-        next(end, latency, failures, done)
+        sendNext(end, latency, failures, done)
         return done
     }
 
-    private fun next(
+    private fun sendNext(
         end: Long,
         latency: Histogram,
         failures: AtomicInteger,
@@ -71,7 +71,7 @@
         client.execute(request()).aggregate().handle { response, cause ->
             latency.recordValue(System.nanoTime() - started)
             if (failed(response, cause)) failures.incrementAndGet()
-            next(end, latency, failures, done)
+            sendNext(end, latency, failures, done)
         }
     }
 
@@ -82,6 +82,6 @@
 
     private companion object {
         const val HIGHEST_NANOS = 60_000_000_000L
-        const val DIGITS = 3
+        const val HISTOGRAM_DIGITS = 3
     }
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/overhead/OverheadExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/overhead/OverheadExperiment.kt
@@ -46,7 +46,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration.Companion.seconds
 
-/** What the router adds to a short request, against calling the stand-in engine directly in the same run. */
+/** Measures the latency that the router adds to a short request, compared with direct calls to the simulated engine. */
 public class OverheadExperiment : Experiment {
     override val name: String = "overhead"
     override val about: String = "Latency and rate of short requests through the router against the engine alone."
@@ -89,8 +89,8 @@
         ClientFactory.builder().maxNumEventLoopsPerEndpoint(LOAD_EVENT_LOOPS).build().use { factory ->
             val client = WebClient.builder("http://$address").factory(factory).build()
             val load = ClosedLoopLoad(client) { shortRequest() }
-            load.run(WARM_UP, concurrency)
-            return load.run(MEASURED, concurrency)
+            load.run(WARM_UP_TIME, concurrency)
+            return load.run(MEASURED_TIME, concurrency)
         }
     }
 
@@ -139,7 +139,7 @@
                 .status()
                 .isSuccess
         ) {
-            TimeUnit.MILLISECONDS.sleep(10)
+            TimeUnit.MILLISECONDS.sleep(READY_POLL_MILLIS)
         }
     }
 
@@ -181,14 +181,15 @@
         const val TOKEN = "measure-token"
         const val TOKENS = 4
         const val LOAD_EVENT_LOOPS = 4
+        const val READY_POLL_MILLIS = 10L
         const val BODY = """{"model":"auto","max_tokens":4,"messages":[{"role":"user","content":"Which slate?"}]}"""
         const val MEDIAN = 50.0
         const val TAIL = 99.0
         const val DIGITS = 3
         const val NANOS_PER_MILLI = 1e6
         val CONCURRENCY = listOf(1, 8, 32, 128)
-        val WARM_UP = 2.seconds
-        val MEASURED = 4.seconds
+        val WARM_UP_TIME = 2.seconds
+        val MEASURED_TIME = 4.seconds
         val DOMAIN = FailureDomainId("west")
         val COLUMNS =
             listOf(
