--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/Experiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/Experiment.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.experiments
 
-/** A measurement that can be run again with `bin/measure NAME`. */
+/** A repeatable measurement, run with `bin/measure NAME`. */
 public interface Experiment {
     /** Name on the command line; the report goes to `docs/measurements/NAME.md`. */
     public val name: String
@@ -8,6 +8,6 @@
     /** One sentence for the help text. */
     public val about: String
 
-    /** Runs the measurement and writes what it found to [report]. */
+    /** Runs the measurement and writes its results to [report]. */
     public fun run(report: ExperimentReport)
 }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/ExperimentReport.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/ExperimentReport.kt
@@ -3,7 +3,7 @@
 import java.io.File
 import java.util.Locale
 
-/** One line or set of points in a plot. */
+/** A named series of points in a plot. */
 public data class PlotSeries(
     public val name: String,
     public val points: List<PlotPoint>,
@@ -16,7 +16,7 @@
 )
 
 /**
- * Collects what an experiment found, as a Markdown page with tables and as plots (SVG) beside it.
+ * Collects the results of an experiment in a Markdown page with tables, and writes plots as SVG files.
  *
  * ```
  * report.table("Time to in force", listOf("routers", "p99 ms"), listOf(listOf("5", "12.3")))
@@ -63,7 +63,7 @@
         sections += "![$title](../plots/${target.name})"
     }
 
-    /** Writes the page. */
+    /** Writes the Markdown page. */
     public fun write() {
         directory.mkdirs()
         val introduction = "# Measurement: $name\n\nRun again with `bin/measure $name`."
@@ -73,7 +73,7 @@
     private fun row(cells: List<String>): String = cells.joinToString(" | ", "| ", " |\n")
 
     public companion object {
-        /** [value] with [digits] decimals, whatever the machine's locale. */
+        /** Formats [value] with [digits] decimals, independently of the default locale. */
         public fun number(
             value: Double,
             digits: Int = 2,
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/Experiments.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/Experiments.kt
@@ -13,7 +13,7 @@
 import dev.almondhaven.experiments.serving.RetryExperiment
 import dev.almondhaven.experiments.serving.ServingExperiment
 
-/** Every experiment that `bin/measure` knows. */
+/** The registry of experiments that `bin/measure` can run. */
 public object Experiments {
     /** All experiments, in the order in which `bin/measure all` runs them. */
     public val ALL: List<Experiment> =
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentsExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentsExperiment.kt
@@ -15,7 +15,8 @@
 
     override fun run(report: ExperimentReport) {
         report.text(
-            "Both deployments at once, five router processes and $CALLERS callers each; the stand-ins' own records are the truth.",
+            "Both deployments at once, five router processes and $CALLERS callers each; the stand-ins' own records " +
+                "are the truth.",
         )
         val threads = Executors.newFixedThreadPool(USERS)
         val samples = SampleDeployment.all(File("examples"))
--- a/experiments/src/test/kotlin/dev/almondhaven/experiments/DeploymentsTest.kt
+++ b/experiments/src/test/kotlin/dev/almondhaven/experiments/DeploymentsTest.kt
@@ -15,14 +15,14 @@
     private val examples = File(System.getProperty("almondhaven.root"), "examples")
 
     @TestFactory
-    fun `a deployment keeps every promise through the short script of faults`(): List<DynamicTest> =
+    fun `a deployment violates no invariant during the short fault script`(): List<DynamicTest> =
         SampleDeployment.all(examples).map { sample ->
             dynamicTest(sample.name) {
                 val run = DeploymentRun(sample, InProcessRouter.STARTER, FaultScripts.SHORT, callers = 12, seed = 7)
 
-                val broken = run.execute().findings.filterNot { it.held }
+                val violated = run.execute().findings.filterNot { it.held }
 
-                expectThat(broken).isEmpty()
+                expectThat(violated).isEmpty()
             }
         }
 }
--- a/experiments/src/test/kotlin/dev/almondhaven/experiments/ExamplesTest.kt
+++ b/experiments/src/test/kotlin/dev/almondhaven/experiments/ExamplesTest.kt
@@ -27,7 +27,7 @@
         .flatMap { catalogue.accept(ConfigurationEntry.NotePublished(it)) }
 
     @TestFactory
-    fun `the notes of a sample deployment can be published in order`(): List<DynamicTest> =
+    fun `the release notes of a sample deployment can be published in order`(): List<DynamicTest> =
         listOf("pennant", "association").map { name ->
             dynamicTest(name) {
                 val last =
@@ -42,7 +42,7 @@
         }
 
     @TestFactory
-    fun `sample settings have no problems`(): List<DynamicTest> =
+    fun `sample settings are valid`(): List<DynamicTest> =
         listOf("router.yaml", "try/router.yaml").map { name ->
             dynamicTest(name) {
                 val settings = RouterSettings.parse(File(examples, name).readText())
--- a/experiments/src/test/kotlin/dev/almondhaven/experiments/PromisesPageTest.kt
+++ b/experiments/src/test/kotlin/dev/almondhaven/experiments/PromisesPageTest.kt
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `every line of the brief has its section`() {
+    fun `the page has a section for each of the twelve requirements`() {
         expectThat(page.lines().filter { it.startsWith("## ") }).hasSize(12)
     }
 }
