--- a/router/src/main/kotlin/dev/almondhaven/router/controller/ActorThread.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/ActorThread.kt
@@ -13,7 +13,7 @@
 /**
  * The thread of an actor: it handles messages from its bounded mailbox in order and, between messages, calls a tick
  * handler at a regular interval. Any thread may send messages; only the actor thread accesses the actor's state, so
- * that state needs no locks.
+ * that state needs no locks. Thread names and log events refer to an actor as a duty.
  *
  * ```
  * val actor = ActorThread.start("billing", capacity = 4096, onMessage = batch::add, onTick = batch::flush)
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/AnswerRelay.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/AnswerRelay.kt
@@ -114,7 +114,7 @@
         private var subscription: Subscription? = null
         private var outstandingFrames = 0
         private var stopped = false
-        private var lastProgressAt = clock.nanos()
+        private var waitStartedAt = clock.nanos()
 
         override fun onSubscribe(subscription: Subscription) {
             this.subscription = subscription
@@ -123,8 +123,8 @@
 
         override fun onNext(frame: AnswerFrame) {
             if (stopped) return
-            lastProgressAt = clock.nanos()
-            exchange.attempt.connection?.recordProgress(lastProgressAt)
+            waitStartedAt = clock.nanos()
+            exchange.attempt.connection?.recordProgress(waitStartedAt)
             outstandingFrames--
             when (frame) {
                 is AnswerFrame.Token -> deliver(frame)
@@ -146,14 +146,14 @@
         }
 
         fun scheduleCheck(deadline: Duration) {
-            val remaining = deadline.inWholeNanoseconds - (clock.nanos() - lastProgressAt)
+            val remaining = deadline.inWholeNanoseconds - (clock.nanos() - waitStartedAt)
             eventLoop.schedule({ checkProgress(deadline) }, maxOf(remaining, 0), TimeUnit.NANOSECONDS)
         }
 
         private fun checkProgress(deadline: Duration) {
             if (stopped || ended) return
             val timeout = if (outstandingFrames == 0) settings.callerStall else deadline
-            if (clock.elapsed(lastProgressAt) < timeout) return scheduleCheck(currentTimeout(timeout))
+            if (clock.elapsed(waitStartedAt) < timeout) return scheduleCheck(currentTimeout(timeout))
             if (outstandingFrames == 0) onCallerStalled() else onEndpointSilent()
         }
 
@@ -166,7 +166,7 @@
 
         private fun requestFrames() {
             outstandingFrames = WINDOW_FRAMES
-            lastProgressAt = clock.nanos()
+            waitStartedAt = clock.nanos()
             subscription?.request(WINDOW_FRAMES.toLong())
         }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/endpoint/LoadReportPoller.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/endpoint/LoadReportPoller.kt
@@ -32,7 +32,7 @@
         val uptimeMillis: Long? = null,
     )
 
-    private var nextIndex = 0
+    private var lastPolledIndex = 0
     private val actor =
         ActorThread.start<() -> Unit>("load-reports", MAILBOX_CAPACITY, interval, ::pollNextEndpoints) {
             it()
@@ -50,8 +50,8 @@
         val endpoints = directory.polledEndpoints
         if (endpoints.size <= ENDPOINTS_PER_TICK) return endpoints.forEach(::poll)
         repeat(ENDPOINTS_PER_TICK) {
-            nextIndex = (nextIndex + 1) % endpoints.size
-            poll(endpoints[nextIndex])
+            lastPolledIndex = (lastPolledIndex + 1) % endpoints.size
+            poll(endpoints[lastPolledIndex])
         }
     }
 
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/RequestJournal.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/RequestJournal.kt
@@ -145,7 +145,7 @@
 
     private val ended = CompletableFuture<Unit>()
     private val endRecorded = AtomicBoolean()
-    private val pendingEnds = AtomicInteger(1)
+    private val pendingReleases = AtomicInteger(1)
 
     /** Whether the request has ended. */
     public val hasEnded: Boolean get() = ended.isDone
@@ -162,13 +162,13 @@
 
     /** Delays the end of a request that has not ended yet until the returned function is called. */
     public fun deferEnd(): () -> Unit {
-        pendingEnds.incrementAndGet()
+        pendingReleases.incrementAndGet()
         val released = AtomicBoolean()
         return { if (released.compareAndSet(false, true)) release() }
     }
 
     private fun release() {
-        if (pendingEnds.decrementAndGet() == 0) ended.complete(Unit)
+        if (pendingReleases.decrementAndGet() == 0) ended.complete(Unit)
     }
 
     /** The outcome to report with an error: `not_run` only if nothing was dispatched. */
--- a/router/src/main/kotlin/dev/almondhaven/router/filter/SessionFilter.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/filter/SessionFilter.kt
@@ -48,7 +48,7 @@
             id != null && !ID_PATTERN.matches(id) -> refuse(invalid("the session id must match $ID_PATTERN"))
             token != null -> verify(exchange, token, id).fold(::refuse) { resume(exchange, call, it, token, next) }
             id != null -> handleById(exchange, call, SessionId(id), next)
-            else -> begin(exchange, SessionId(UUID.randomUUID().toString()), known = false, next)
+            else -> begin(exchange, SessionId(UUID.randomUUID().toString()), idFromCaller = false, next)
         }
     }
 
@@ -87,7 +87,7 @@
             .thenComposeAsync(
                 { pin ->
                     if (pin == null) {
-                        begin(exchange, id, known = true, next)
+                        begin(exchange, id, idFromCaller = true, next)
                     } else {
                         resume(exchange, call, VerifiedToken(pin, needsRenewal = true), token = null, next)
                     }
@@ -109,7 +109,7 @@
     private fun begin(
         exchange: Exchange,
         session: SessionId,
-        known: Boolean,
+        idFromCaller: Boolean,
         next: RequestHandler,
     ): CompletableFuture<Answer> =
         next.handle(exchange).thenCompose { answer ->
@@ -118,7 +118,7 @@
                 answer.completed()
             } else {
                 val pin = SessionPin(SessionKey(exchange.organisation.id, session), served, epochMillis())
-                val stored = if (known) directory.remember(pin) else CompletableFuture.completedFuture(pin)
+                val stored = if (idFromCaller) directory.remember(pin) else CompletableFuture.completedFuture(pin)
                 stored.thenApply { answer.also { _ -> addSessionHeaders(exchange, it) } }
             }
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/limit/UsageGossip.kt
@@ -64,9 +64,7 @@
         return received.values
             .flatMap { it.report.uses }
             .filter { it.organisation == organisation }
-            .fold(
-                OrganisationUsage.NONE,
-            ) { sum, usage -> sum + OrganisationUsage(usage.inFlight, usage.tokensPerMinute) }
+            .fold(OrganisationUsage.NONE) { sum, use -> sum + OrganisationUsage(use.inFlight, use.tokensPerMinute) }
     }
 
     override fun nextPayload(budgetBytes: Int): JsonElement? {
