--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
@@ -31,7 +31,7 @@
  * @property claimsPerSecond non-idempotent calls per second in the whole fleet.
  * @property hasTimestampedKeys whether idempotency keys are version 7 UUIDs, which carry a timestamp.
  * @property ownerShare share of the operations that reach the router owning the shard; other routers write the rest.
- * @property outage seconds of virtual time in which the platform is isOutage; empty for none.
+ * @property outage seconds of virtual time in which the platform is down; empty for none.
  */
 internal data class ClaimLoadPlan(
     val claimsPerSecond: Double,
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualFleet.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/distribution/VirtualFleet.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration
 
 /**
- * Simulates routers in virtual time with the production decisions and message codec. A seed determines the schedule.
+ * Simulates routers in virtual time with the production logic and message codec. A seed determines the schedule.
  *
  * ```
  * val fleet = VirtualFleet(seed = 1)
