--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
@@ -16,8 +16,8 @@
 import dev.almondhaven.model.Outcome
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.model.ServiceId
-import dev.almondhaven.store.CallBudget
 import dev.almondhaven.store.CircuitBreaker
+import dev.almondhaven.store.ProcessRateLimiter
 import org.HdrHistogram.Histogram
 import org.apache.commons.rng.simple.RandomSource
 import java.util.Base64
@@ -98,8 +98,8 @@
     private inner class Process {
         val clock = NanoClock { now }
         val breaker = CircuitBreaker(clock, kotlin.random.Random(random.nextInt()))
-        val writes = CallBudget(clock, BURST) { WRITES_PER_SECOND / plan.routers }
-        val reads = CallBudget(clock, BURST) { READS_PER_SECOND / plan.routers }
+        val writes = ProcessRateLimiter(clock, BURST) { WRITES_PER_SECOND / plan.routers }
+        val reads = ProcessRateLimiter(clock, BURST) { READS_PER_SECOND / plan.routers }
     }
 
     private inner class Driver(
@@ -137,23 +137,23 @@
         }
 
         private fun call(
-            budget: CallBudget,
+            budget: ProcessRateLimiter,
             counted: IntArray,
             action: () -> Unit,
         ) {
-            val pause = budget.tryTake().inWholeNanoseconds
+            val pause = budget.tryAcquire().inWholeNanoseconds
             if (pause > 0) return schedule(now + pause) { pump() }
-            if (!process.breaker.tryPass()) return schedule(now + BREAKER_POLL_NANOS) { pump() }
+            if (!process.breaker.tryAcquire()) return schedule(now + BREAKER_POLL_NANOS) { pump() }
             counted[second()]++
             busy = true
             val down = second() in plan.outage
             schedule(now + if (down) LOST_CALL_NANOS else CALL_NANOS) {
                 busy = false
                 if (down) {
-                    process.breaker.reportFailure()
+                    process.breaker.recordFailure()
                     writer.onFailure(now)
                 } else {
-                    if (process.breaker.reportAnswer()) process.writes.empty()
+                    if (process.breaker.recordResponse()) process.writes.drain()
                     action()
                 }
                 pump()
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/configuration/PublishingExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/configuration/PublishingExperiment.kt
@@ -20,8 +20,8 @@
 import dev.almondhaven.store.ObjectStore
 import dev.almondhaven.store.ObjectStoreFaults
 import dev.almondhaven.store.PublishError
+import dev.almondhaven.store.PublishRetryPolicy
 import dev.almondhaven.store.Publisher
-import dev.almondhaven.store.RetryPause
 import kotlinx.serialization.json.Json
 import org.HdrHistogram.Histogram
 
@@ -70,7 +70,7 @@
     private fun calls(row: FaultRow): List<String> {
         val inner = InMemoryObjectStore()
         val objects = FaultyObjectStore(inner, SEED, row.faults)
-        val store = ConfigurationStore(objects, RetryPause.immediate(ATTEMPTS))
+        val store = ConfigurationStore(objects, PublishRetryPolicy.immediate(ATTEMPTS))
         val histogram = Histogram(HISTOGRAM_DIGITS)
         val results =
             List(PUBLICATIONS) { index ->
@@ -195,7 +195,7 @@
         const val NANOS_PER_MILLISECOND = 1_000_000.0
         const val REGIONS = 2
         const val DIGEST_LENGTH = 64
-        val PUBLISHER = Publisher("measure", acceptedAt = 1, from = "loopback")
+        val PUBLISHER = Publisher("measure", acceptedAt = 1, host = "loopback")
         val CALL_COLUMNS =
             listOf("platform", "mean", "p99", "max", "accepted", "not published", "unsettled", "told wrong")
         val SIZE_COLUMNS =
@@ -213,7 +213,7 @@
         val FAULTS =
             listOf(
                 FaultRow("no faults", ObjectStoreFaults()),
-                FaultRow("10% of writes lose their answer", ObjectStoreFaults(lostAnswers = 0.1)),
+                FaultRow("10% of writes lose their answer", ObjectStoreFaults(lostResponses = 0.1)),
                 FaultRow("10% of writes late", ObjectStoreFaults(lateWrites = 0.1)),
                 FaultRow("20% of reads stale", ObjectStoreFaults(staleReads = 0.2)),
                 FaultRow("all of these, 10% not sent", ObjectStoreFaults(0.1, 0.1, 0.1, 0.2)),
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentBench.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentBench.kt
@@ -100,7 +100,7 @@
         return results.toList()
     }
 
-    private fun publisher() = Publisher("bench", System.currentTimeMillis(), from = "loopback")
+    private fun publisher() = Publisher("bench", System.currentTimeMillis(), host = "loopback")
 
     /** Starts [count] callers, spread over the organisations by their shares. */
     public fun startCallers(count: Int) {
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/FaultScripts.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/FaultScripts.kt
@@ -15,7 +15,7 @@
     public val FULL: FaultScript =
         faultScript(length = 64.seconds) {
             at(0.seconds, "the object API loses 5% of answers") {
-                it.objects.faults = ObjectStoreFaults(lostAnswers = LOST_ANSWERS)
+                it.objects.faults = ObjectStoreFaults(lostResponses = LOST_ANSWERS)
             }
             at(4.seconds, "router 1 is killed") { it.killRouter(1) }
             at(7.seconds, "router 1 is replaced") { it.replaceRouter(1) }
@@ -27,7 +27,7 @@
             at(28.seconds, "the silent engine answers again") { it.healEngine(1) }
             at(40.seconds, "the object API is back and loses 10% of answers") {
                 it.objects.outage = false
-                it.objects.faults = ObjectStoreFaults(lostAnswers = LOST_ANSWERS_AFTER_OUTAGE)
+                it.objects.faults = ObjectStoreFaults(lostResponses = LOST_ANSWERS_AFTER_OUTAGE)
             }
             at(42.seconds, "a failure domain is taken out") { it.takeOut(it.sample.failureDomains[1]) }
             at(44.seconds, "two operators race") { raceOperators(it) }
@@ -51,7 +51,7 @@
     public val SHORT: FaultScript =
         faultScript(length = 8.seconds) {
             at(0.seconds, "the object API loses 10% of answers") {
-                it.objects.faults = ObjectStoreFaults(lostAnswers = LOST_ANSWERS_AFTER_OUTAGE)
+                it.objects.faults = ObjectStoreFaults(lostResponses = LOST_ANSWERS_AFTER_OUTAGE)
             }
             at(1.seconds, "the object API is down") { it.objects.outage = true }
             at(2.seconds, "an engine restarts cold") { it.restartEngineCold(0) }
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/overhead/OverheadExperiment.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/overhead/OverheadExperiment.kt
@@ -151,7 +151,7 @@
         engine: String,
     ) {
         val entry = ConfigurationEntry.NotePublished(note(engine))
-        ConfigurationStore(objects).publish(entry, Publisher("measure", acceptedAt = 0, from = "loopback"))
+        ConfigurationStore(objects).publish(entry, Publisher("measure", acceptedAt = 0, host = "loopback"))
     }
 
     private fun note(engine: String): ReleaseNote {
--- a/operator/src/main/kotlin/dev/almondhaven/operator/HistoryCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/HistoryCommands.kt
@@ -67,13 +67,13 @@
             }
         }
         if (report.faults.isNotEmpty()) throw auditBroken(report.faults)
-        val kept = if (report.awaitsObject) "; the newest is kept by the next publication" else ""
+        val kept = if (report.isNewestEntryUnstored) "; the newest is kept by the next publication" else ""
         echo("${report.records.size} entries, the chain of hashes is whole$kept", err = output == Output.JSON)
     }
 }
 
 internal fun ConfigurationRecord.line(): String =
-    "$generation  ${Instant.ofEpochMilli(acceptedAt)}  $author@$from  ${entry.summary()}  ${entry.reason}"
+    "$generation  ${Instant.ofEpochMilli(acceptedAt)}  $author@$host  ${entry.summary()}  ${entry.reason}"
 
 private fun ConfigurationEntry.summary(): String =
     when (this) {
--- a/operator/src/main/kotlin/dev/almondhaven/operator/NoteCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/NoteCommands.kt
@@ -122,7 +122,7 @@
             platform.store
                 .publish(entry, publisher.publisher(), on?.let { Generation(it) })
                 .fold({ throw failureOf(it) }, { it })
-        val before = if (accepted.already) "was already" else "is"
+        val before = if (accepted.wasAlreadyAccepted) "was already" else "is"
         echo("note ${entry.id} $before accepted as generation ${accepted.generation}")
         pushToRouters(routers, platform)
     }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/PlatformOptions.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/PlatformOptions.kt
@@ -12,7 +12,7 @@
 import dev.almondhaven.store.ConfigurationStore
 import dev.almondhaven.store.HttpObjectStore
 import dev.almondhaven.store.ObjectStore
-import dev.almondhaven.store.RetryPause
+import dev.almondhaven.store.PublishRetryPolicy
 import org.apache.commons.rng.UniformRandomProvider
 import org.apache.commons.rng.simple.RandomSource
 import java.net.URI
--- a/operator/src/test/kotlin/dev/almondhaven/operator/OperatorCommandTest.kt
+++ b/operator/src/test/kotlin/dev/almondhaven/operator/OperatorCommandTest.kt
@@ -117,7 +117,7 @@
 
         @Test
         fun `finds out that a write without an answer took effect`() {
-            objects.faults = ObjectStoreFaults(lostAnswers = 1.0)
+            objects.faults = ObjectStoreFaults(lostResponses = 1.0)
 
             expectThat(publish(domainNote("west")).output).isEqualTo("note west is accepted as generation 1\n")
         }
--- a/router/src/main/kotlin/dev/almondhaven/router/controller/GuardedObjectStores.kt
+++ b/router/src/main/kotlin/dev/almondhaven/router/controller/GuardedObjectStores.kt
@@ -3,13 +3,13 @@
 import dev.almondhaven.model.NanoClock
 import dev.almondhaven.router.RouterMetrics
 import dev.almondhaven.router.settings.PlatformSettings
-import dev.almondhaven.store.CallBudget
 import dev.almondhaven.store.CallGuards
 import dev.almondhaven.store.CircuitBreaker
+import dev.almondhaven.store.FleetRateShare
 import dev.almondhaven.store.GuardedObjectStore
 import dev.almondhaven.store.ObjectStore
 import dev.almondhaven.store.PlatformCallListener
-import dev.almondhaven.store.PlatformShare
+import dev.almondhaven.store.ProcessRateLimiter
 import io.prometheus.metrics.core.metrics.Counter
 import io.prometheus.metrics.core.metrics.Histogram
 import io.prometheus.metrics.model.registry.PrometheusRegistry
@@ -32,17 +32,17 @@
     metrics: RouterMetrics,
     fleetSize: () -> Int,
 ): ObjectStore {
-    val share = PlatformShare(clock, fleetSize = fleetSize)
+    val share = FleetRateShare(clock, fleetSize = fleetSize)
     val circuitBreaker = CircuitBreaker(clock, Random.Default)
     val guards =
         CallGuards(
-            reads = CallBudget(clock, BURST_CALLS) { share.of(settings.readsPerSecond) },
-            writes = CallBudget(clock, BURST_CALLS) { share.of(settings.writesPerSecond) },
-            breaker = circuitBreaker,
+            readLimiter = ProcessRateLimiter(clock, BURST_CALLS) { share.of(settings.readsPerSecond) },
+            writeLimiter = ProcessRateLimiter(clock, BURST_CALLS) { share.of(settings.writesPerSecond) },
+            circuitBreaker = circuitBreaker,
             listener = platformCallMetrics(metrics.registry),
         )
     metrics.registerGauge("almondhaven_platform_circuit_open", "1 while calls of the platform are held back.") {
-        if (circuitBreaker.open) 1.0 else 0.0
+        if (circuitBreaker.isOpen) 1.0 else 0.0
     }
     return GuardedObjectStore(platform, guards, clock, Random.Default)
 }
--- a/router/src/test/kotlin/dev/almondhaven/router/TestDeployment.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/TestDeployment.kt
@@ -67,7 +67,7 @@
 
     /** Publishes [entry] and waits until the router has applied it. */
     fun publish(entry: ConfigurationEntry): TestDeployment {
-        val publisher = Publisher("test", acceptedAt = 0, from = "test")
+        val publisher = Publisher("test", acceptedAt = 0, host = "test")
         val accepted = ConfigurationStore(objects).publish(entry, publisher)
         val generation = accepted.fold({ error("not accepted: $it") }, { it.generation })
         val expected = "almondhaven_configuration_generation ${generation.value.toDouble()}"
--- a/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/claim/ClaimPeerProtocolTest.kt
@@ -35,7 +35,7 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class ClaimPeerProtocolTest {
     private val objects =
-        FaultyObjectStore(InMemoryObjectStore(), 1, ObjectStoreFaults(lostAnswers = 0.3, staleReads = 0.2))
+        FaultyObjectStore(InMemoryObjectStore(), 1, ObjectStoreFaults(lostResponses = 0.3, staleReads = 0.2))
     private val members = List(3) { Member(RouterId("router-$it"), FailureDomainId("west"), "10.0.0.$it:1") }
     private val unreachable = ConcurrentHashMap.newKeySet<RouterId>()
     private val routers = members.map { TestRouter(it) }
--- a/store/src/main/kotlin/dev/almondhaven/store/AuditTrail.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/AuditTrail.kt
@@ -18,12 +18,12 @@
 /**
  * Every accepted entry in order, with what is wrong with the chain.
  *
- * @property awaitsObject whether the newest entry is known from the head only; the next publisher writes its object.
+ * @property isNewestEntryUnstored whether the newest entry is known from the head only; the next publisher writes its object.
  */
 public data class AuditReport(
     public val records: List<ConfigurationRecord>,
     public val faults: List<AuditFault>,
-    public val awaitsObject: Boolean,
+    public val isNewestEntryUnstored: Boolean,
 )
 
 /** Reads the accepted entries and verifies their hash chain. */
--- a/store/src/main/kotlin/dev/almondhaven/store/CircuitBreaker.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/CircuitBreaker.kt
@@ -14,18 +14,18 @@
     private val clock: NanoClock,
     private val random: Random,
     private val failuresToOpen: Int = DEFAULT_FAILURES_TO_OPEN,
-    private val pauses: FullJitter = FullJitter(200.milliseconds, 5.seconds),
+    private val backoff: FullJitter = FullJitter(200.milliseconds, 5.seconds),
 ) {
     private var failures = 0
     private var closedUntil = 0L
     private var probing = false
 
     /** Whether calls are held back. */
-    public val open: Boolean @Synchronized get() = failures >= failuresToOpen
+    public val isOpen: Boolean @Synchronized get() = failures >= failuresToOpen
 
     /** Whether a call may be made now; every call that may must be reported. */
     @Synchronized
-    public fun tryPass(): Boolean {
+    public fun tryAcquire(): Boolean {
         if (failures < failuresToOpen) return true
         if (probing || clock.nanos() - closedUntil < 0) return false
         probing = true
@@ -34,7 +34,7 @@
 
     /** Reports an answer; returns whether it closed the circuit. */
     @Synchronized
-    public fun reportAnswer(): Boolean {
+    public fun recordResponse(): Boolean {
         val closed = failures >= failuresToOpen
         failures = 0
         probing = false
@@ -43,11 +43,11 @@
 
     /** Reports that no answer came. */
     @Synchronized
-    public fun reportFailure() {
+    public fun recordFailure() {
         failures++
         probing = false
         if (failures < failuresToOpen) return
-        val pause: Duration = pauses.pause(failures - failuresToOpen + 1, random)
+        val pause: Duration = backoff.delay(failures - failuresToOpen + 1, random)
         closedUntil = clock.nanos() + pause.inWholeNanoseconds
     }
 
--- a/store/src/main/kotlin/dev/almondhaven/store/ConfigurationRecord.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ConfigurationRecord.kt
@@ -2,6 +2,7 @@
 
 import dev.almondhaven.catalogue.ConfigurationEntry
 import dev.almondhaven.model.Generation
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
 /**
@@ -9,7 +10,7 @@
  *
  * @property author who published it.
  * @property acceptedAt epoch milliseconds by the operator's clock.
- * @property from host from which it was published.
+ * @property host host from which it was published.
  * @property submitted digest of the entry as the operator submitted it, before times were filled in.
  * @property previousHash hash of the record before this one; empty for the first.
  * @property hash SHA-256 over the canonical JSON of every other field.
@@ -20,7 +21,7 @@
     public val entry: ConfigurationEntry,
     public val author: String,
     public val acceptedAt: Long,
-    public val from: String,
+    @SerialName("from") public val host: String,
     public val submitted: String = "",
     public val previousHash: String = "",
     public val hash: String = "",
@@ -30,5 +31,5 @@
 public data class Publisher(
     public val author: String,
     public val acceptedAt: Long,
-    public val from: String,
+    public val host: String,
 )
--- a/store/src/main/kotlin/dev/almondhaven/store/ConfigurationStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ConfigurationStore.kt
@@ -15,13 +15,13 @@
 import kotlinx.serialization.json.Json
 
 /** Decides between two attempts on the platform whether to try again, and waits. */
-public fun interface RetryPause {
+public fun interface PublishRetryPolicy {
     /** Waits before attempt number [attempt], from 1; false means to give up. */
     public fun await(attempt: Int): Boolean
 
     public companion object {
         /** Gives up after [attempts] without waiting. */
-        public fun immediate(attempts: Int): RetryPause = RetryPause { it <= attempts }
+        public fun immediate(attempts: Int): PublishRetryPolicy = PublishRetryPolicy { it <= attempts }
     }
 }
 
@@ -34,7 +34,7 @@
  */
 public class ConfigurationStore(
     private val objects: ObjectStore,
-    private val pause: RetryPause = RetryPause.immediate(DEFAULT_ATTEMPTS),
+    private val pause: PublishRetryPolicy = PublishRetryPolicy.immediate(DEFAULT_ATTEMPTS),
 ) {
     /** The head with its version, or null before the first entry. */
     public fun head(): Either<PlatformError, VersionedHead?> =
@@ -121,7 +121,7 @@
         private fun settled(record: ConfigurationRecord): Either<PublishError, Accepted> {
             val same = record.submitted.isEmpty() || record.submitted == submitted
             if (!same) return PublishError.IdReused(entry.id, record.generation).left()
-            return Accepted(record.generation, already = unanswered == null).right()
+            return Accepted(record.generation, wasAlreadyAccepted = unanswered == null).right()
         }
 
         /** A head that moved under this publisher, or isn't the one it was told to build on. */
@@ -180,7 +180,7 @@
                     stamped,
                     who.author,
                     who.acceptedAt,
-                    who.from,
+                    who.host,
                     submitted,
                     previousHash,
                 )
--- a/store/src/main/kotlin/dev/almondhaven/store/FaultyObjectStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/FaultyObjectStore.kt
@@ -9,13 +9,13 @@
  * How often a [FaultyObjectStore] fails, each from 0 to 1 of the calls that can fail so.
  *
  * @property notSent calls that certainly have no effect.
- * @property lostAnswers writes that take effect at once but whose answer is lost.
+ * @property lostResponses writes that take effect at once but whose answer is lost.
  * @property lateWrites writes without an answer that take effect only some calls later, if their condition holds then.
  * @property staleReads reads that return an earlier value of the object.
  */
 public data class ObjectStoreFaults(
     public val notSent: Double = 0.0,
-    public val lostAnswers: Double = 0.0,
+    public val lostResponses: Double = 0.0,
     public val lateWrites: Double = 0.0,
     public val staleReads: Double = 0.0,
 )
@@ -24,7 +24,7 @@
  * An object store that fails as the platform does; the same [seed] and calls give the same faults. For tests.
  *
  * ```
- * val objects = FaultyObjectStore(InMemoryObjectStore(), seed = 7, ObjectStoreFaults(lostAnswers = 0.2))
+ * val objects = FaultyObjectStore(InMemoryObjectStore(), seed = 7, ObjectStoreFaults(lostResponses = 0.2))
  * objects.outage = true
  * ```
  */
@@ -109,7 +109,7 @@
             return NO_ANSWER.left()
         }
         val result = remembering(key, action)
-        return if (hits(faults.lostAnswers)) NO_ANSWER.left() else result
+        return if (hits(faults.lostResponses)) NO_ANSWER.left() else result
     }
 
     private fun <T> remembering(
--- a/store/src/main/kotlin/dev/almondhaven/store/PlatformShare.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/FleetRateShare.kt
@@ -8,7 +8,7 @@
  * The part of the platform's rate that one process of a fleet may use. It goes by the largest fleet seen in the last
  * one to two periods, so that the two halves of a fleet that lost each other don't both take the whole.
  */
-public class PlatformShare(
+public class FleetRateShare(
     private val clock: NanoClock,
     private val period: Duration = 1.hours,
     private val fleetSize: () -> Int,
--- a/store/src/main/kotlin/dev/almondhaven/store/FullJitter.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/FullJitter.kt
@@ -10,7 +10,7 @@
     private val longest: Duration,
 ) {
     /** The pause after the failure number [failures], counted from 1. */
-    public fun pause(
+    public fun delay(
         failures: Int,
         random: Random,
     ): Duration {
--- a/store/src/main/kotlin/dev/almondhaven/store/GuardedObjectStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/GuardedObjectStore.kt
@@ -16,7 +16,7 @@
 /** Hears of every call that reached the platform, or would have. */
 public fun interface PlatformCallListener {
     /** [error] is null when the call was answered. */
-    public fun called(
+    public fun onCall(
         kind: CallKind,
         error: PlatformError?,
         took: Duration,
@@ -27,15 +27,15 @@
  * What guards the calls of one process.
  *
  * @property deadline longest time for one operation with its retries.
- * @property attempts most calls for one operation.
+ * @property maxAttempts most calls for one operation.
  */
 public class CallGuards(
-    public val reads: CallBudget,
-    public val writes: CallBudget,
-    public val breaker: CircuitBreaker,
+    public val readLimiter: ProcessRateLimiter,
+    public val writeLimiter: ProcessRateLimiter,
+    public val circuitBreaker: CircuitBreaker,
     public val deadline: Duration = 3.seconds,
-    public val attempts: Int = 3,
-    public val pauses: FullJitter = FullJitter(50.milliseconds, 1.seconds),
+    public val maxAttempts: Int = 3,
+    public val backoff: FullJitter = FullJitter(50.milliseconds, 1.seconds),
     public val listener: PlatformCallListener = PlatformCallListener { _, _, _ -> },
 )
 
@@ -60,7 +60,7 @@
         after: ObjectKey?,
         limit: Int,
     ): Either<PlatformError, ObjectPage> =
-        retried { guarded(CallKind.LIST, guards.reads) { inner.list(prefix, after, limit) } }
+        retried { guarded(CallKind.LIST, guards.readLimiter) { inner.list(prefix, after, limit) } }
 
     // A watch takes too long to serve as the probe of an open circuit.
     override fun watch(
@@ -68,10 +68,10 @@
         after: Revision,
         wait: Duration,
     ): Either<PlatformError, WatchResult> =
-        if (guards.breaker.open) {
+        if (guards.circuitBreaker.isOpen) {
             CIRCUIT_OPEN.left()
         } else {
-            guarded(CallKind.WATCH, guards.reads) { inner.watch(prefix, after, wait) }
+            guarded(CallKind.WATCH, guards.readLimiter) { inner.watch(prefix, after, wait) }
         }
 
     override fun put(
@@ -81,7 +81,7 @@
     ): Either<PlatformError, ObjectVersion> {
         var unsettled = false
         return retried {
-            val result = guarded(CallKind.PUT, guards.writes) { inner.put(key, value, condition) }
+            val result = guarded(CallKind.PUT, guards.writeLimiter) { inner.put(key, value, condition) }
             val error = result.leftOrNull()
             if (error is PlatformError.NoAnswer) unsettled = true
             val lost = unsettled && (error is PlatformError.NoAnswer || error == PlatformError.ConditionFailed)
@@ -95,7 +95,7 @@
     ): Either<PlatformError, Unit> {
         var unsettled = false
         return retried {
-            val result = guarded(CallKind.DELETE, guards.writes) { inner.delete(key, version) }
+            val result = guarded(CallKind.DELETE, guards.writeLimiter) { inner.delete(key, version) }
             val error = result.leftOrNull()
             if (unsettled && error == PlatformError.ConditionFailed) return@retried settleDelete(key)
             if (error is PlatformError.NoAnswer) unsettled = true
@@ -132,7 +132,7 @@
     }
 
     private fun getOnce(key: ObjectKey): Either<PlatformError, StoredObject?> =
-        guarded(CallKind.GET, guards.reads) { inner.get(key) }
+        guarded(CallKind.GET, guards.readLimiter) { inner.get(key) }
 
     private fun <T> retried(call: () -> Either<PlatformError, T>): Either<PlatformError, T> {
         val end = clock.nanos() + guards.deadline.inWholeNanoseconds
@@ -145,8 +145,8 @@
             val passing = error is PlatformError.NotSent || error is PlatformError.NoAnswer
             if (!passing) return result
             failures++
-            val pause = guards.pauses.pause(failures, random)
-            if (failures >= guards.attempts || clock.nanos() + pause.inWholeNanoseconds - end >= 0) {
+            val pause = guards.backoff.delay(failures, random)
+            if (failures >= guards.maxAttempts || clock.nanos() + pause.inWholeNanoseconds - end >= 0) {
                 return if (mayHaveTakenEffect) PlatformError.NoAnswer("$error").left() else result
             }
             sleep(pause)
@@ -155,16 +155,16 @@
 
     private fun <T> guarded(
         kind: CallKind,
-        budget: CallBudget,
+        budget: ProcessRateLimiter,
         call: () -> Either<PlatformError, T>,
     ): Either<PlatformError, T> {
         waitFor(budget)?.let { return it.left() }
-        if (!guards.breaker.tryPass()) return CIRCUIT_OPEN.left()
+        if (!guards.circuitBreaker.tryAcquire()) return CIRCUIT_OPEN.left()
         val started = clock.nanos()
         val result = answered(call)
         val error = result.leftOrNull()
         report(error)
-        guards.listener.called(kind, error, (clock.nanos() - started).nanoseconds)
+        guards.listener.onCall(kind, error, (clock.nanos() - started).nanoseconds)
         return result
     }
 
@@ -177,18 +177,18 @@
 
     private fun report(error: PlatformError?) {
         if (error is PlatformError.NotSent || error is PlatformError.NoAnswer) {
-            guards.breaker.reportFailure()
-        } else if (guards.breaker.reportAnswer()) {
-            guards.reads.empty()
-            guards.writes.empty()
+            guards.circuitBreaker.recordFailure()
+        } else if (guards.circuitBreaker.recordResponse()) {
+            guards.readLimiter.drain()
+            guards.writeLimiter.drain()
         }
     }
 
     /** Waits for a token within the deadline; the error if none comes. */
-    private fun waitFor(budget: CallBudget): PlatformError? {
+    private fun waitFor(budget: ProcessRateLimiter): PlatformError? {
         val end = clock.nanos() + guards.deadline.inWholeNanoseconds
         while (true) {
-            val pause = budget.tryTake()
+            val pause = budget.tryAcquire()
             if (pause == Duration.ZERO) return null
             if (clock.nanos() + pause.inWholeNanoseconds - end >= 0) return PlatformError.NotSent("call budget spent")
             sleep(maxOf(pause, SHORTEST_SLEEP))
--- a/store/src/main/kotlin/dev/almondhaven/store/CallBudget.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ProcessRateLimiter.kt
@@ -9,7 +9,7 @@
  * A token bucket for the calls of one process. [callsPerSecond] is read at every call, so that the share of a process
  * shrinks as the fleet grows; the bucket holds what [burst] calls need. Safe to use from any thread.
  */
-public class CallBudget(
+public class ProcessRateLimiter(
     private val clock: NanoClock,
     private val burst: Double,
     private val callsPerSecond: () -> Double,
@@ -23,7 +23,7 @@
 
     /** Takes a call's token; returns zero if there was one, else how long to wait before the next try. */
     @Synchronized
-    public fun tryTake(): Duration {
+    public fun tryAcquire(): Duration {
         val rate = callsPerSecond()
         val now = clock.nanos()
         tokens = minOf(burst, tokens + rate * (now - filledAt) / NANOS_PER_SECOND)
@@ -38,7 +38,7 @@
 
     /** Takes what was saved up, so that the processes of a fleet don't spend it all at once after an outage. */
     @Synchronized
-    public fun empty() {
+    public fun drain() {
         tokens = minOf(tokens, 0.0)
         filledAt = clock.nanos()
     }
--- a/store/src/main/kotlin/dev/almondhaven/store/PublishError.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/PublishError.kt
@@ -48,9 +48,9 @@
 /**
  * An accepted entry.
  *
- * @property already whether it had been accepted before this call.
+ * @property wasAlreadyAccepted whether it had been accepted before this call.
  */
 public data class Accepted(
     public val generation: Generation,
-    public val already: Boolean = false,
+    public val wasAlreadyAccepted: Boolean = false,
 )
--- a/store/src/test/kotlin/dev/almondhaven/store/AuditTrailTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/AuditTrailTest.kt
@@ -16,7 +16,7 @@
 
     private fun publish(id: String) {
         val entry = ConfigurationEntry.NotePublished(ReleaseNote(NoteId(id), "test"))
-        ConfigurationStore(objects).publish(entry, Publisher("anna", acceptedAt = 1_000, from = "desk"))
+        ConfigurationStore(objects).publish(entry, Publisher("anna", acceptedAt = 1_000, host = "desk"))
     }
 
     private fun report(): AuditReport = checkNotNull(AuditTrail(objects).read().getOrNull())
--- a/store/src/test/kotlin/dev/almondhaven/store/ConfigurationStoreTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/ConfigurationStoreTest.kt
@@ -28,7 +28,7 @@
 import strikt.assertions.isNotNull
 
 class ConfigurationStoreTest {
-    private val publisher = Publisher("anna", acceptedAt = 1_000, from = "desk")
+    private val publisher = Publisher("anna", acceptedAt = 1_000, host = "desk")
 
     private fun note(
         id: String,
@@ -71,7 +71,7 @@
             val results = List(2) { store.publish(note("first"), publisher) }
 
             expectThat(results).isEqualTo(
-                listOf(Accepted(Generation(1)).right(), Accepted(Generation(1), already = true).right()),
+                listOf(Accepted(Generation(1)).right(), Accepted(Generation(1), wasAlreadyAccepted = true).right()),
             )
         }
 
@@ -82,7 +82,7 @@
             repeat(300) { store.publish(note("later-$it"), publisher) }
 
             expectThat(store.publish(note("first"), publisher))
-                .isEqualTo(Accepted(Generation(1), already = true).right())
+                .isEqualTo(Accepted(Generation(1), wasAlreadyAccepted = true).right())
         }
 
         @Test
@@ -155,7 +155,7 @@
     inner class `a platform that fails` {
         @Test
         fun `and loses every answer still gets the note accepted once`() {
-            val objects = FaultyObjectStore(InMemoryObjectStore(), seed = 1, ObjectStoreFaults(lostAnswers = 1.0))
+            val objects = FaultyObjectStore(InMemoryObjectStore(), seed = 1, ObjectStoreFaults(lostResponses = 1.0))
 
             expectThat(ConfigurationStore(objects).publish(note("first"), publisher))
                 .isEqualTo(Accepted(Generation(1)).right())
@@ -165,7 +165,7 @@
         fun `and goes down behind a write leaves it unsettled until the note is published again`() {
             val inner = InMemoryObjectStore()
             val objects = FaultyObjectStore(inner, seed = 1, ObjectStoreFaults(lateWrites = 1.0))
-            val downAfterFirst = RetryPause { attempt -> objects.let { it.outage = true }.let { attempt < 3 } }
+            val downAfterFirst = PublishRetryPolicy { attempt -> objects.let { it.outage = true }.let { attempt < 3 } }
 
             val first = ConfigurationStore(objects, downAfterFirst).publish(note("first"), publisher)
             objects.outage = false
@@ -174,7 +174,7 @@
             val again = ConfigurationStore(objects).publish(note("first"), publisher)
 
             expectThat(first.leftOrNull()).isA<PublishError.Unsettled>()
-            expectThat(again).isEqualTo(Accepted(Generation(1), already = true).right())
+            expectThat(again).isEqualTo(Accepted(Generation(1), wasAlreadyAccepted = true).right())
         }
 
         @Test
--- a/store/src/test/kotlin/dev/almondhaven/store/GuardedObjectStoreTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/GuardedObjectStoreTest.kt
@@ -22,7 +22,7 @@
     private val clock = NanoClock { now }
     private val inMemory = InMemoryObjectStore()
 
-    private fun budget(rate: Double) = CallBudget(clock, burst = 10.0) { rate }
+    private fun budget(rate: Double) = ProcessRateLimiter(clock, burst = 10.0) { rate }
 
     private fun guarded(
         inner: ObjectStore,
@@ -39,7 +39,7 @@
     inner class `a write` {
         @Test
         fun `whose answer is lost is settled by reading it back`() {
-            val faulty = FaultyObjectStore(inMemory, seed = 1, ObjectStoreFaults(lostAnswers = 1.0))
+            val faulty = FaultyObjectStore(inMemory, seed = 1, ObjectStoreFaults(lostResponses = 1.0))
 
             val written = guarded(faulty).put(ObjectKey("a"), "mine", WriteCondition.Absent)
 
@@ -55,7 +55,7 @@
 
         private fun truthful(seed: Long): Boolean {
             val store = InMemoryObjectStore()
-            val faults = ObjectStoreFaults(notSent = 0.1, lostAnswers = 0.2, lateWrites = 0.2, staleReads = 0.2)
+            val faults = ObjectStoreFaults(notSent = 0.1, lostResponses = 0.2, lateWrites = 0.2, staleReads = 0.2)
             val faulty = FaultyObjectStore(store, seed, faults)
             val taken = HashSet<String>()
             val recording = RecordingStore(faulty, store, taken)
@@ -108,7 +108,7 @@
         @Test
         fun `of all routers stays under the platform's rate when the fleet falls apart`() {
             var size = 370
-            val share = PlatformShare(clock) { size }
+            val share = FleetRateShare(clock) { size }
             val before = share.of(200.0)
             size = 1
 
@@ -121,13 +121,13 @@
         @Test
         fun `opens after failures, lets one probe through and closes when it is answered`() {
             val breaker = CircuitBreaker(clock, Random(1), failuresToOpen = 2)
-            repeat(2) { breaker.reportFailure() }
-            expectThat(breaker.tryPass()).isFalse()
+            repeat(2) { breaker.recordFailure() }
+            expectThat(breaker.tryAcquire()).isFalse()
 
             now += 5.seconds.inWholeNanoseconds
-            expectThat(listOf(breaker.tryPass(), breaker.tryPass())).isEqualTo(listOf(true, false))
-            expectThat(breaker.reportAnswer()).isTrue()
-            expectThat(breaker.open).isFalse()
+            expectThat(listOf(breaker.tryAcquire(), breaker.tryAcquire())).isEqualTo(listOf(true, false))
+            expectThat(breaker.recordResponse()).isTrue()
+            expectThat(breaker.isOpen).isFalse()
         }
 
         @Test
--- a/store/src/test/kotlin/dev/almondhaven/store/PublishInterleavingPropertyTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/PublishInterleavingPropertyTest.kt
@@ -29,7 +29,7 @@
             val random = source.random
             ObjectStoreFaults(
                 notSent = random.nextDouble(0.2),
-                lostAnswers = random.nextDouble(0.4),
+                lostResponses = random.nextDouble(0.4),
                 lateWrites = random.nextDouble(0.4),
                 staleReads = random.nextDouble(0.4),
             )
@@ -70,8 +70,8 @@
             val id = NoteId("note-${if (again) random.nextInt(nextId) else nextId++}")
             val domain = FailureDomain(FailureDomainId(id.value), RegionId("wales"))
             val note = ReleaseNote(id, "x", failureDomains = FailureDomainChanges(added = listOf(domain)))
-            val publisher = Publisher("operator", acceptedAt = random.nextLong(1, 1_000_000), from = "desk")
-            val store = ConfigurationStore(operators, RetryPause.immediate(random.nextInt(1, 6)))
+            val publisher = Publisher("operator", acceptedAt = random.nextLong(1, 1_000_000), host = "desk")
+            val store = ConfigurationStore(operators, PublishRetryPolicy.immediate(random.nextInt(1, 6)))
             results += id to store.publish(ConfigurationEntry.NotePublished(note), publisher)
             depth--
         }
@@ -135,13 +135,13 @@
                 checkAll(PropTestConfig(seed = 4_072, iterations = 200), Arb.long(), faults) { seed, faults ->
                     val inner = InMemoryObjectStore()
                     val objects = FaultyObjectStore(inner, seed, faults)
-                    val pause = RetryPause.immediate(100)
+                    val pause = PublishRetryPolicy.immediate(100)
                     val results =
                         List(2) { operator ->
                             val note = ReleaseNote(NoteId("note-$operator"), "x")
                             ConfigurationStore(objects, pause).publish(
                                 ConfigurationEntry.NotePublished(note),
-                                Publisher("operator", acceptedAt = 1, from = "desk"),
+                                Publisher("operator", acceptedAt = 1, host = "desk"),
                                 expected = Generation.NONE,
                             )
                         }
