--- a/store/src/main/kotlin/dev/almondhaven/store/AuditTrail.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/AuditTrail.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
 
-/** Something in the audit trail that shouldn't be so. */
+/** An inconsistency in the audit trail, such as an altered or missing entry. */
 public data class AuditFault(
     public val generation: Generation,
     public val detail: String,
@@ -16,7 +16,7 @@
 }
 
 /**
- * Every accepted entry in order, with what is wrong with the chain.
+ * All accepted entries, oldest first, and the faults found in their hash chain.
  *
  * @property isNewestEntryUnstored whether the newest entry is known from the head only; the next publisher writes its object.
  */
@@ -30,19 +30,19 @@
 public class AuditTrail(
     private val objects: ObjectStore,
 ) {
-    /** The whole trail, oldest first. */
+    /** Reads and verifies the whole trail. */
     public fun read(): Either<PlatformError, AuditReport> {
         val head = ConfigurationStore(objects).head().fold({ return it.left() }, { it?.head ?: ConfigurationHead() })
         val stored = storedEntries().fold({ return it.left() }, { it })
-        val newest = head.latest?.takeIf { latest -> stored.none { it.record.generation == latest.generation } }
+        val unstored = head.latest?.takeIf { latest -> stored.none { it.record.generation == latest.generation } }
         val chain =
             (
                 stored +
                     listOfNotNull(
-                        newest?.let { ChainLink(it, hashOf(it)) },
+                        unstored?.let { ChainLink(it, hashOf(it)) },
                     )
             ).sortedBy { it.record.generation }
-        return AuditReport(chain.map { it.record }, faults(chain, head), newest != null).right()
+        return AuditReport(chain.map { it.record }, faults(chain, head), unstored != null).right()
     }
 
     private class ChainLink(
@@ -61,18 +61,18 @@
         return links.right()
     }
 
-    /** Hashes the object as it is stored, so that fields which this release doesn't know count too. */
+    /** Hashes the JSON as stored, so that fields unknown to this release are covered by the hash too. */
     private fun parse(stored: StoredObject): Either<PlatformError, ChainLink> =
         try {
             val element = json.parseToJsonElement(stored.value)
             val record = json.decodeFromJsonElement(ConfigurationRecord.serializer(), element)
-            ChainLink(record, CanonicalJson.digest(element, except = HASH)).right()
+            ChainLink(record, CanonicalJson.digest(element, except = HASH_FIELDS)).right()
         } catch (exception: SerializationException) {
             PlatformError.NoAnswer("unreadable entry ${stored.key}: ${exception.message}").left()
         }
 
     private fun hashOf(record: ConfigurationRecord): String =
-        CanonicalJson.digest(ConfigurationRecord.serializer(), record, except = HASH)
+        CanonicalJson.digest(ConfigurationRecord.serializer(), record, except = HASH_FIELDS)
 
     private fun faults(
         chain: List<ChainLink>,
@@ -87,9 +87,22 @@
                 previousHash = link.record.hash
             }
             val newest = chain.lastOrNull()?.record?.generation ?: Generation.NONE
-            if (newest != head.generation) add(AuditFault(head.generation, "in force, but the trail ends at $newest"))
+            if (newest !=
+                head.generation
+            ) {
+                add(
+                    AuditFault(
+                        head.generation,
+                        "this generation is in force, but the newest entry has generation $newest",
+                    ),
+                )
+            }
             val latest = head.latest?.hash.orEmpty()
-            if (latest != previousHash) add(AuditFault(head.generation, "the head names another newest entry"))
+            if (latest !=
+                previousHash
+            ) {
+                add(AuditFault(head.generation, "the hash of the newest entry differs from the one in the head"))
+            }
         }
 
     private fun faults(
@@ -99,13 +112,25 @@
     ): List<AuditFault> =
         buildList {
             val record = link.record
-            if (record.generation != expected) add(AuditFault(record.generation, "expected generation $expected here"))
-            if (record.previousHash != previousHash) add(AuditFault(record.generation, "doesn't follow the one before"))
-            if (record.hash != link.computedHash) add(AuditFault(record.generation, "was altered: its hash differs"))
+            if (record.generation !=
+                expected
+            ) {
+                add(AuditFault(record.generation, "expected generation $expected at this position"))
+            }
+            if (record.previousHash !=
+                previousHash
+            ) {
+                add(AuditFault(record.generation, "previousHash is not the hash of the preceding entry"))
+            }
+            if (record.hash !=
+                link.computedHash
+            ) {
+                add(AuditFault(record.generation, "the entry was altered: its hash differs"))
+            }
         }
 
     private companion object {
         val json = Json { ignoreUnknownKeys = true }
-        val HASH = setOf(ConfigurationStore.HASH_FIELD)
+        val HASH_FIELDS = setOf(ConfigurationStore.HASH_FIELD)
     }
 }
--- a/store/src/main/kotlin/dev/almondhaven/store/BillingStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/BillingStore.kt
@@ -12,20 +12,20 @@
 import java.util.HexFormat
 
 /**
- * Billing records on the platform, at `billing/{hour}/{digest}`. The name follows from the names of the batches in the
- * object, so writing the same batches again has no effect.
+ * Stores billing objects on the platform under `billing/{hour}/{digest}`. The digest is computed from the names of the
+ * batches in the object, so storing the same batches again has no effect.
  */
 public class BillingStore(
     private val objects: ObjectStore,
 ) {
-    /** Stores [value]; succeeds too when it was stored before. */
+    /** Stores [value]; idempotent, so it also succeeds when the same batches are already stored. */
     public fun store(value: BillingObject): Either<PlatformError, Unit> {
         val text = json.encodeToString(BillingObject.serializer(), value)
         val result = objects.put(keyOf(value), text, WriteCondition.Absent)
         return if (result.leftOrNull() == PlatformError.ConditionFailed) Unit.right() else result.map { }
     }
 
-    /** All objects whose hour lies from [from] to [to], which may be empty for no bound; hours are `yyyyMMddHH`. */
+    /** Reads the objects whose hour (`yyyyMMddHH`) is between [from] and [to], inclusive; an empty bound is open. */
     public fun readAll(
         from: String = "",
         to: String = "",
@@ -42,10 +42,12 @@
     }
 
     private fun keyOf(value: BillingObject): ObjectKey {
-        val first = value.batches.minOf { it.sealedAt }
+        val firstSealedAt = value.batches.minOf { it.sealedAt }
         val names = value.batches.joinToString("\n") { it.name.toString() }
         val digest = MessageDigest.getInstance("SHA-256").digest(names.toByteArray())
-        return ObjectKey("$PREFIX${hour(first)}/${HexFormat.of().formatHex(digest).take(DIGEST_CHARACTERS)}")
+        return ObjectKey(
+            "$PREFIX${hour(firstSealedAt)}/${HexFormat.of().formatHex(digest).take(DIGEST_HEX_CHARACTERS)}",
+        )
     }
 
     private fun hourOf(key: ObjectKey): String = key.value.removePrefix(PREFIX).substringBefore('/')
@@ -53,11 +55,11 @@
     public companion object {
         private const val PREFIX = "billing/"
         private const val PAGE_SIZE = 20
-        private const val DIGEST_CHARACTERS = 32
-        private val hours = DateTimeFormatter.ofPattern("yyyyMMddHH").withZone(ZoneOffset.UTC)
+        private const val DIGEST_HEX_CHARACTERS = 32
+        private val hourFormat = DateTimeFormatter.ofPattern("yyyyMMddHH").withZone(ZoneOffset.UTC)
         private val json = Json { ignoreUnknownKeys = true }
 
-        /** The hour, in UTC, that [epochMillis] lies in. */
-        public fun hour(epochMillis: Long): String = hours.format(Instant.ofEpochMilli(epochMillis))
+        /** Returns the UTC hour of [epochMillis] as `yyyyMMddHH`. */
+        public fun hour(epochMillis: Long): String = hourFormat.format(Instant.ofEpochMilli(epochMillis))
     }
 }
--- a/store/src/main/kotlin/dev/almondhaven/store/CanonicalJson.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/CanonicalJson.kt
@@ -8,18 +8,18 @@
 import java.security.MessageDigest
 import java.util.HexFormat
 
-/** JSON with sorted keys and no white space, so that equal values have equal digests. */
+/** Computes digests over JSON with sorted keys and no white space, so that equal values have equal digests. */
 internal object CanonicalJson {
     private val json = Json { ignoreUnknownKeys = true }
 
-    /** Lower-case hexadecimal SHA-256 of [value] without the fields in [except]. */
+    /** Returns the lower-case hexadecimal SHA-256 of [value] without the top-level fields in [except]. */
     fun <T> digest(
         serializer: KSerializer<T>,
         value: T,
         except: Set<String> = emptySet(),
     ): String = digest(json.encodeToJsonElement(serializer, value), except)
 
-    /** Lower-case hexadecimal SHA-256 of [element] without the top fields in [except]. */
+    /** Returns the lower-case hexadecimal SHA-256 of [element] without the top-level fields in [except]. */
     fun digest(
         element: JsonElement,
         except: Set<String> = emptySet(),
--- a/store/src/main/kotlin/dev/almondhaven/store/CircuitBreaker.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/CircuitBreaker.kt
@@ -7,8 +7,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Keeps calls from a platform that doesn't answer: after some failures in a row it opens for a random pause, then lets
- * a single probe through, and closes when a probe succeeds. Safe to use from any thread.
+ * Rejects calls while the platform doesn't respond: opens after [failuresToOpen] consecutive failures for a random
+ * pause, then lets a single probe through, and closes when the platform responds to a probe. Thread-safe.
  */
 public class CircuitBreaker(
     private val clock: NanoClock,
@@ -16,39 +16,42 @@
     private val failuresToOpen: Int = DEFAULT_FAILURES_TO_OPEN,
     private val backoff: FullJitter = FullJitter(200.milliseconds, 5.seconds),
 ) {
-    private var failures = 0
-    private var closedUntil = 0L
-    private var probing = false
+    private var consecutiveFailures = 0
+    private var probeAllowedAt = 0L
+    private var isProbing = false
 
-    /** Whether calls are held back. */
-    public val isOpen: Boolean @Synchronized get() = failures >= failuresToOpen
+    /** Whether calls are rejected, except for probes. */
+    public val isOpen: Boolean @Synchronized get() = consecutiveFailures >= failuresToOpen
 
-    /** Whether a call may be made now; every call that may must be reported. */
+    /**
+     * Returns whether a call may be made now. The outcome of every permitted call must be recorded, otherwise a probe
+     * never ends and the breaker stays open.
+     */
     @Synchronized
     public fun tryAcquire(): Boolean {
-        if (failures < failuresToOpen) return true
-        if (probing || clock.nanos() - closedUntil < 0) return false
-        probing = true
+        if (consecutiveFailures < failuresToOpen) return true
+        if (isProbing || clock.nanos() - probeAllowedAt < 0) return false
+        isProbing = true
         return true
     }
 
-    /** Reports an answer; returns whether it closed the circuit. */
+    /** Records that the platform responded; returns whether this closed the circuit. */
     @Synchronized
     public fun recordResponse(): Boolean {
-        val closed = failures >= failuresToOpen
-        failures = 0
-        probing = false
-        return closed
+        val wasOpen = consecutiveFailures >= failuresToOpen
+        consecutiveFailures = 0
+        isProbing = false
+        return wasOpen
     }
 
-    /** Reports that no answer came. */
+    /** Records that the platform didn't respond. */
     @Synchronized
     public fun recordFailure() {
-        failures++
-        probing = false
-        if (failures < failuresToOpen) return
-        val pause: Duration = backoff.delay(failures - failuresToOpen + 1, random)
-        closedUntil = clock.nanos() + pause.inWholeNanoseconds
+        consecutiveFailures++
+        isProbing = false
+        if (consecutiveFailures < failuresToOpen) return
+        val pause: Duration = backoff.delay(consecutiveFailures - failuresToOpen + 1, random)
+        probeAllowedAt = clock.nanos() + pause.inWholeNanoseconds
     }
 
     private companion object {
--- a/store/src/main/kotlin/dev/almondhaven/store/ConfigurationHead.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ConfigurationHead.kt
@@ -6,10 +6,12 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The object at `configuration/head`: the compacted snapshot in force and what the next publisher has to know.
+ * The object at `configuration/head`: the compacted snapshot in force and what the next publisher needs.
  *
- * @property recentEntries ids of the newest entries, newest first; settles writes whose answer was lost.
- * @property latest the newest entry in full, so that the next publisher can write its object if this one's crashed.
+ * @property recentEntries ids of the newest entries, newest first. A publisher that finds its id here knows that its
+ *   entry was accepted, even if the response to its write was lost.
+ * @property latest the newest entry in full, so that the next publisher can write its object if the publisher of that
+ *   entry crashed before doing so.
  */
 @Serializable
 public data class ConfigurationHead(
@@ -21,7 +23,7 @@
     public val generation: Generation get() = catalogue.generation
 }
 
-/** A head together with the object version that its successor has to name. */
+/** A head together with its object version, which the write of the next head uses for compare-and-set. */
 public data class VersionedHead(
     public val head: ConfigurationHead,
     public val version: ObjectVersion,
--- a/store/src/main/kotlin/dev/almondhaven/store/ConfigurationRecord.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ConfigurationRecord.kt
@@ -6,12 +6,12 @@
 import kotlinx.serialization.Serializable
 
 /**
- * An accepted entry as it is kept for ever at `configuration/entries/{id}`: the audit trail.
+ * An accepted entry, stored permanently at `configuration/entries/{id}`. These records form the audit trail.
  *
- * @property author who published it.
- * @property acceptedAt epoch milliseconds by the operator's clock.
- * @property host host from which it was published.
- * @property submitted digest of the entry as the operator submitted it, before times were filled in.
+ * @property author user who published the entry.
+ * @property acceptedAt epoch milliseconds by the clock of the operator's machine.
+ * @property host host from which the entry was published.
+ * @property submitted digest of the entry as submitted, before start times were filled in; empty if unknown.
  * @property previousHash hash of the record before this one; empty for the first.
  * @property hash SHA-256 over the canonical JSON of every other field.
  */
@@ -27,7 +27,7 @@
     public val hash: String = "",
 )
 
-/** Who publishes an entry, when and from where; goes into the audit trail. */
+/** Who publishes an entry, when and from which host; recorded in the audit trail. */
 public data class Publisher(
     public val author: String,
     public val acceptedAt: Long,
--- a/store/src/main/kotlin/dev/almondhaven/store/ConfigurationStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ConfigurationStore.kt
@@ -14,47 +14,53 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
 
-/** Decides between two attempts on the platform whether to try again, and waits. */
+/** Decides whether to retry after a failed attempt, and waits before the retry. */
 public fun interface PublishRetryPolicy {
-    /** Waits before attempt number [attempt], from 1; false means to give up. */
+    /** Waits after failed attempt number [attempt], counted from 1; returns false to give up. */
     public fun await(attempt: Int): Boolean
 
     public companion object {
-        /** Gives up after [attempts] without waiting. */
+        /** Retries up to [attempts] times without waiting. */
         public fun immediate(attempts: Int): PublishRetryPolicy = PublishRetryPolicy { it <= attempts }
     }
 }
 
 /**
- * Reads the head and advances it by conditional update, one entry at a time.
+ * Reads the configuration head and advances it by compare-and-set, one entry at a time.
  *
- * An entry is accepted at the moment the head that contains it is written. The head carries its newest entry in full;
- * before a publisher replaces a head it makes sure that this entry's own object exists, so a publisher that crashes
- * between the two writes loses nothing. `docs/design/configuration.md` weighs this against the other order.
+ * An entry is accepted when the head that contains it is written. The head carries its newest entry in full, and a
+ * publisher makes sure that this entry is stored as an object of its own before it replaces the head, so a publisher
+ * that crashes between the two writes loses nothing. `docs/design/configuration.md` compares this with the other order.
  */
 public class ConfigurationStore(
     private val objects: ObjectStore,
-    private val pause: PublishRetryPolicy = PublishRetryPolicy.immediate(DEFAULT_ATTEMPTS),
+    private val retryPolicy: PublishRetryPolicy = PublishRetryPolicy.immediate(DEFAULT_ATTEMPTS),
 ) {
-    /** The head with its version, or null before the first entry. */
+    /** Reads the head with its version, or null before the first entry. */
     public fun head(): Either<PlatformError, VersionedHead?> =
         objects.get(HEAD_KEY).flatMap { stored ->
             if (stored == null) {
                 null.right()
             } else {
-                decoding { VersionedHead(decode(stored.value), stored.version) }
+                catchDecodingErrors { VersionedHead(decode(stored.value), stored.version) }
             }
         }
 
-    /** The record of the entry [id], or null when its object doesn't exist (yet). */
+    /** Reads the record of the entry [id], or null if its object doesn't exist (yet). */
     public fun record(id: NoteId): Either<PlatformError, ConfigurationRecord?> =
         objects.get(entryKey(id)).flatMap { stored ->
-            if (stored == null) null.right() else decoding { json.decodeFromString(recordSerializer, stored.value) }
+            if (stored ==
+                null
+            ) {
+                null.right()
+            } else {
+                catchDecodingErrors { json.decodeFromString(recordSerializer, stored.value) }
+            }
         }
 
     /**
-     * Publishes [entry] on top of the head in force, or on top of [expected] only. Publishing an id again returns the
-     * generation it was accepted as.
+     * Publishes [entry] on top of the current head, or only on top of the generation [expected] if given. Idempotent:
+     * publishing the same entry again returns the generation as which it was accepted.
      */
     public fun publish(
         entry: ConfigurationEntry,
@@ -62,36 +68,44 @@
         expected: Generation? = null,
     ): Either<PublishError, Accepted> = Publishing(entry, publisher, expected).run()
 
-    /** One run of [publish] with all its attempts. */
+    /** State of one call of [publish] across its attempts. */
     private inner class Publishing(
         private val entry: ConfigurationEntry,
         private val publisher: Publisher,
         expected: Generation?,
     ) {
-        private val submitted = CanonicalJson.digest(ConfigurationEntry.serializer(), entry)
-        private var base: ConfigurationHead? = null
+        private val submittedDigest = CanonicalJson.digest(ConfigurationEntry.serializer(), entry)
+        private var firstHead: ConfigurationHead? = null
         private var expectedGeneration = expected
-        private var unanswered: PlatformError? = null
+        private var unansweredWrite: PlatformError? = null
 
         fun run(): Either<PublishError, Accepted> {
             var attempt = 1
             while (true) {
                 val step = attempt()
                 if (step is Step.Done) return step.result
-                if (!pause.await(attempt)) return givenUp((step as Step.Again).error)
+                if (!retryPolicy.await(attempt)) return giveUp((step as Step.Retry).error)
                 attempt++
             }
         }
 
-        private fun givenUp(error: PlatformError): Either<PublishError, Accepted> {
-            val lost = unanswered
-            return (if (lost == null) PublishError.Platform(error) else PublishError.Unsettled(entry.id, lost)).left()
+        private fun giveUp(error: PlatformError): Either<PublishError, Accepted> {
+            val unanswered = unansweredWrite
+            return (
+                if (unanswered ==
+                    null
+                ) {
+                    PublishError.Platform(error)
+                } else {
+                    PublishError.Unsettled(entry.id, unanswered)
+                }
+            ).left()
         }
 
         private fun attempt(): Step {
-            val current = head().fold({ return Step.Again(it) }, { it })
+            val current = head().fold({ return Step.Retry(it) }, { it })
             val head = current?.head ?: ConfigurationHead()
-            acceptedBefore(head).fold({ return Step.Again(it) }, { found ->
+            findAccepted(head).fold({ return Step.Retry(it) }, { found ->
                 if (found !=
                     null
                 ) {
@@ -99,39 +113,60 @@
                 }
             })
             conflict(head)?.let { return it }
-            head.latest?.let { latest -> keepEntry(latest).onLeft { return Step.Again(it) } }
-            return advance(current, head)
+            head.latest?.let { latest -> storeEntry(latest).onLeft { return Step.Retry(it) } }
+            return writeHead(current, head)
         }
 
-        /** The result if the entry is known to be accepted, null if it isn't in the order that [head] stands for. */
-        private fun acceptedBefore(head: ConfigurationHead): Either<PlatformError, Either<PublishError, Accepted>?> {
+        /** Returns the result if the entry is already accepted, or null if the history up to [head] doesn't contain it. */
+        private fun findAccepted(head: ConfigurationHead): Either<PlatformError, Either<PublishError, Accepted>?> {
             head.latest?.takeIf { it.entry.id == entry.id }?.let { latest ->
-                keepEntry(latest)
-                return settled(latest).right()
+                storeEntry(latest)
+                return resultOf(latest).right()
             }
             return record(entry.id).flatMap { record ->
                 when {
-                    record != null -> settled(record).right()
-                    entry.id in head.recentEntries -> PlatformError.NoAnswer("a stale read of ${entry.id}").left()
-                    else -> null.right()
+                    record != null -> {
+                        resultOf(record).right()
+                    }
+
+                    entry.id in head.recentEntries -> {
+                        PlatformError
+                            .NoAnswer(
+                                "stale read: ${entry.id} is in the head but has no object",
+                            ).left()
+                    }
+
+                    else -> {
+                        null.right()
+                    }
                 }
             }
         }
 
-        private fun settled(record: ConfigurationRecord): Either<PublishError, Accepted> {
-            val same = record.submitted.isEmpty() || record.submitted == submitted
-            if (!same) return PublishError.IdReused(entry.id, record.generation).left()
-            return Accepted(record.generation, wasAlreadyAccepted = unanswered == null).right()
+        private fun resultOf(record: ConfigurationRecord): Either<PublishError, Accepted> {
+            val isSameEntry = record.submitted.isEmpty() || record.submitted == submittedDigest
+            if (!isSameEntry) return PublishError.IdReused(entry.id, record.generation).left()
+            return Accepted(record.generation, wasAlreadyAccepted = unansweredWrite == null).right()
         }
 
-        /** A head that moved under this publisher, or isn't the one it was told to build on. */
+        /** Returns a step if [head] is a stale read or not the generation to build on, or null to continue. */
         private fun conflict(head: ConfigurationHead): Step? {
-            val first = base ?: head.also { base = it }
+            val first = firstHead ?: head.also { firstHead = it }
             val wanted = expectedGeneration ?: head.generation.also { expectedGeneration = it }
             return when {
-                head.generation == wanted -> null
-                head.generation < first.generation -> Step.Again(PlatformError.NoAnswer("a stale read of the head"))
-                else -> Step.Done(conflictWith(first, head, wanted).left())
+                head.generation == wanted -> {
+                    null
+                }
+
+                head.generation < first.generation -> {
+                    Step.Retry(
+                        PlatformError.NoAnswer("stale read of the head: its generation went back"),
+                    )
+                }
+
+                else -> {
+                    Step.Done(conflictWith(first, head, wanted).left())
+                }
             }
         }
 
@@ -141,7 +176,7 @@
             wanted: Generation,
         ) = PublishError.Conflict(wanted, head.generation, first.catalogue.differences(head.catalogue))
 
-        private fun advance(
+        private fun writeHead(
             current: VersionedHead?,
             head: ConfigurationHead,
         ): Step {
@@ -149,23 +184,23 @@
             val catalogue =
                 head.catalogue.accept(stamped).fold({ return Step.Done(PublishError.Invalid(it).left()) }, { it })
             val record = recordOf(stamped, catalogue.generation, head.latest?.hash.orEmpty())
-            val recent = (listOf(entry.id) + head.recentEntries).take(RECENT_ENTRIES)
+            val recent = (listOf(entry.id) + head.recentEntries).take(MAX_RECENT_ENTRIES)
             val text = json.encodeToString(headSerializer, ConfigurationHead(catalogue, recent, record))
             val bytes = text.toByteArray().size
             if (bytes > ObjectStore.MAXIMUM_VALUE_BYTES) return Step.Done(PublishError.TooLarge(bytes).left())
             val condition = current?.let { WriteCondition.AtVersion(it.version) } ?: WriteCondition.Absent
-            return objects.put(HEAD_KEY, text, condition).fold({ notAdvanced(it) }, { advanced(record) })
+            return objects.put(HEAD_KEY, text, condition).fold({ onHeadNotWritten(it) }, { onHeadWritten(record) })
         }
 
-        private fun advanced(record: ConfigurationRecord): Step {
-            keepEntry(record)
+        private fun onHeadWritten(record: ConfigurationRecord): Step {
+            storeEntry(record)
             return Step.Done(Accepted(record.generation).right())
         }
 
-        private fun notAdvanced(error: PlatformError): Step {
+        private fun onHeadNotWritten(error: PlatformError): Step {
             if (error is PlatformError.ValueTooLarge) return Step.Done(PublishError.TooLarge(error.bytes).left())
-            if (error is PlatformError.NoAnswer) unanswered = error
-            return Step.Again(error)
+            if (error is PlatformError.NoAnswer) unansweredWrite = error
+            return Step.Retry(error)
         }
 
         private fun recordOf(
@@ -173,15 +208,15 @@
             generation: Generation,
             previousHash: String,
         ): ConfigurationRecord {
-            val who = publisher
+            val source = publisher
             val record =
                 ConfigurationRecord(
                     generation,
                     stamped,
-                    who.author,
-                    who.acceptedAt,
-                    who.host,
-                    submitted,
+                    source.author,
+                    source.acceptedAt,
+                    source.host,
+                    submittedDigest,
                     previousHash,
                 )
             return record.copy(hash = CanonicalJson.digest(recordSerializer, record, except = setOf(HASH_FIELD)))
@@ -193,19 +228,19 @@
             val result: Either<PublishError, Accepted>,
         ) : Step
 
-        class Again(
+        class Retry(
             val error: PlatformError,
         ) : Step
     }
 
-    /** Writes the object of an accepted entry unless it is there. */
-    private fun keepEntry(record: ConfigurationRecord): Either<PlatformError, Unit> {
+    /** Stores an accepted entry as an object of its own, unless it exists already. */
+    private fun storeEntry(record: ConfigurationRecord): Either<PlatformError, Unit> {
         val text = json.encodeToString(recordSerializer, record)
         val written = objects.put(entryKey(record.entry.id), text, WriteCondition.Absent).map { }
         return if (written == PlatformError.ConditionFailed.left()) Unit.right() else written
     }
 
-    private fun <T> decoding(parse: () -> T): Either<PlatformError, T> =
+    private fun <T> catchDecodingErrors(parse: () -> T): Either<PlatformError, T> =
         try {
             parse().right()
         } catch (exception: SerializationException) {
@@ -213,20 +248,20 @@
         }
 
     public companion object {
-        /** Key of the head. */
+        /** Key of the object that holds the head. */
         public val HEAD_KEY: ObjectKey = ObjectKey("configuration/head")
 
-        /** Prefix of the keys of entries. */
+        /** Key prefix of the objects that hold the accepted entries. */
         public const val ENTRY_PREFIX: String = "configuration/entries/"
 
         internal const val HASH_FIELD = "hash"
-        private const val RECENT_ENTRIES = 256
+        private const val MAX_RECENT_ENTRIES = 256
         private const val DEFAULT_ATTEMPTS = 8
         private val headSerializer: KSerializer<ConfigurationHead> = ConfigurationHead.serializer()
         private val recordSerializer: KSerializer<ConfigurationRecord> = ConfigurationRecord.serializer()
         private val json = Json { ignoreUnknownKeys = true }
 
-        /** Decodes a head as [ConfigurationStore] wrote it. */
+        /** Decodes the JSON of a stored head; throws a [SerializationException] if it is malformed. */
         public fun decode(text: String): ConfigurationHead = json.decodeFromString(headSerializer, text)
 
         private fun entryKey(id: NoteId): ObjectKey = ObjectKey("$ENTRY_PREFIX$id")
--- a/store/src/main/kotlin/dev/almondhaven/store/FaultyObjectStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/FaultyObjectStore.kt
@@ -6,11 +6,11 @@
 import kotlin.time.Duration
 
 /**
- * How often a [FaultyObjectStore] fails, each from 0 to 1 of the calls that can fail so.
+ * Fault probabilities of a [FaultyObjectStore], each between 0 and 1 and per call that can fail in that way.
  *
- * @property notSent calls that certainly have no effect.
- * @property lostResponses writes that take effect at once but whose answer is lost.
- * @property lateWrites writes without an answer that take effect only some calls later, if their condition holds then.
+ * @property notSent calls that fail with [PlatformError.NotSent] and have no effect.
+ * @property lostResponses writes that take effect at once but whose response is lost.
+ * @property lateWrites writes without a response that take effect some calls later, if their condition holds then.
  * @property staleReads reads that return an earlier value of the object.
  */
 public data class ObjectStoreFaults(
@@ -21,7 +21,7 @@
 )
 
 /**
- * An object store that fails as the platform does; the same [seed] and calls give the same faults. For tests.
+ * Injects the platform's failure modes into another store, for tests. The same seed and calls give the same faults.
  *
  * ```
  * val objects = FaultyObjectStore(InMemoryObjectStore(), seed = 7, ObjectStoreFaults(lostResponses = 0.2))
@@ -35,38 +35,38 @@
 ) : ObjectStore {
     private val random = Random(seed)
     private val earlierValues = HashMap<ObjectKey, MutableList<StoredObject?>>()
-    private val late = ArrayDeque<LateWrite>()
+    private val pendingWrites = ArrayDeque<LateWrite>()
 
     private class LateWrite(
         val callsLeft: Int,
         val apply: () -> Unit,
     )
 
-    /** How often what fails; may be changed between calls. */
+    /** The fault probabilities; may be changed between calls. */
     @Volatile
     public var faults: ObjectStoreFaults = faults
 
-    /** Whether every call goes unanswered and without effect. */
+    /** Whether every call fails without a response and without effect. */
     @Volatile
     public var outage: Boolean = false
 
-    /** Calls made so far. */
+    /** Number of calls so far, failed ones included. */
     @Volatile
     public var calls: Long = 0
         private set
 
-    /** Lets every late write that is still under way take effect now, as far as its condition holds. */
+    /** Applies every pending late write now; a write whose condition doesn't hold has no effect. */
     @Synchronized
     public fun deliverLateWrites() {
-        while (late.isNotEmpty()) late.removeFirst().apply()
+        while (pendingWrites.isNotEmpty()) pendingWrites.removeFirst().apply()
     }
 
     @Synchronized
     override fun get(key: ObjectKey): Either<PlatformError, StoredObject?> {
-        failBefore()?.let { return it.left() }
+        injectFailure()?.let { return it.left() }
         val current = inner.get(key)
         val earlier = earlierValues[key].orEmpty()
-        val stale = earlier.isNotEmpty() && hits(faults.staleReads)
+        val stale = earlier.isNotEmpty() && occurs(faults.staleReads)
         return if (stale) Either.Right(earlier.random(random)) else current
     }
 
@@ -88,31 +88,31 @@
         prefix: String,
         after: ObjectKey?,
         limit: Int,
-    ): Either<PlatformError, ObjectPage> = failBefore()?.left() ?: inner.list(prefix, after, limit)
+    ): Either<PlatformError, ObjectPage> = injectFailure()?.left() ?: inner.list(prefix, after, limit)
 
     override fun watch(
         prefix: String,
         after: Revision,
         wait: Duration,
-    ): Either<PlatformError, WatchResult> = failWatch()?.left() ?: inner.watch(prefix, after, wait)
+    ): Either<PlatformError, WatchResult> = injectWatchFailure()?.left() ?: inner.watch(prefix, after, wait)
 
     @Synchronized
-    private fun failWatch(): PlatformError? = failBefore()
+    private fun injectWatchFailure(): PlatformError? = injectFailure()
 
     private fun <T> write(
         key: ObjectKey,
         action: () -> Either<PlatformError, T>,
     ): Either<PlatformError, T> {
-        failBefore()?.let { return it.left() }
-        if (hits(faults.lateWrites)) {
-            late.addLast(LateWrite(random.nextInt(1, LONGEST_DELAY_CALLS)) { remembering(key, action) })
+        injectFailure()?.let { return it.left() }
+        if (occurs(faults.lateWrites)) {
+            pendingWrites.addLast(LateWrite(random.nextInt(1, MAX_DELAY_CALLS)) { applyAndRecordPrevious(key, action) })
             return NO_ANSWER.left()
         }
-        val result = remembering(key, action)
-        return if (hits(faults.lostResponses)) NO_ANSWER.left() else result
+        val result = applyAndRecordPrevious(key, action)
+        return if (occurs(faults.lostResponses)) NO_ANSWER.left() else result
     }
 
-    private fun <T> remembering(
+    private fun <T> applyAndRecordPrevious(
         key: ObjectKey,
         action: () -> Either<PlatformError, T>,
     ): Either<PlatformError, T> {
@@ -120,27 +120,33 @@
         return action().onRight { earlierValues.getOrPut(key) { mutableListOf() }.add(before) }
     }
 
-    private fun failBefore(): PlatformError? {
+    private fun injectFailure(): PlatformError? {
         calls++
         advanceLateWrites()
         return when {
             outage -> PlatformError.NoAnswer("outage")
-            hits(faults.notSent) -> PlatformError.NotSent("connection refused")
+            occurs(faults.notSent) -> PlatformError.NotSent("connection refused")
             else -> null
         }
     }
 
     private fun advanceLateWrites() {
-        repeat(late.size) {
-            val write = late.removeFirst()
-            if (write.callsLeft <= 1) write.apply() else late.addLast(LateWrite(write.callsLeft - 1, write.apply))
+        repeat(pendingWrites.size) {
+            val write = pendingWrites.removeFirst()
+            if (write.callsLeft <=
+                1
+            ) {
+                write.apply()
+            } else {
+                pendingWrites.addLast(LateWrite(write.callsLeft - 1, write.apply))
+            }
         }
     }
 
-    private fun hits(probability: Double): Boolean = probability > 0 && random.nextDouble() < probability
+    private fun occurs(probability: Double): Boolean = probability > 0 && random.nextDouble() < probability
 
     private companion object {
-        const val LONGEST_DELAY_CALLS = 12
-        val NO_ANSWER = PlatformError.NoAnswer("the answer was lost")
+        const val MAX_DELAY_CALLS = 12
+        val NO_ANSWER = PlatformError.NoAnswer("the response was lost")
     }
 }
--- a/store/src/main/kotlin/dev/almondhaven/store/FleetRateShare.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/FleetRateShare.kt
@@ -5,8 +5,9 @@
 import kotlin.time.Duration.Companion.hours
 
 /**
- * The part of the platform's rate that one process of a fleet may use. It goes by the largest fleet seen in the last
- * one to two periods, so that the two halves of a fleet that lost each other don't both take the whole.
+ * Computes the share of the platform's rate limit that one process of a fleet may use. The share is based on the
+ * largest fleet size seen in the last one to two periods, so that the two sides of a network partition don't each use
+ * the whole limit.
  */
 public class FleetRateShare(
     private val clock: NanoClock,
@@ -14,18 +15,18 @@
     private val fleetSize: () -> Int,
 ) {
     private var periodStart = clock.nanos()
-    private var previousPeak = 1
-    private var peak = 1
+    private var previousPeakSize = 1
+    private var peakSize = 1
 
-    /** This process's part of [total] calls per second. */
+    /** Returns this process's share of [total] calls per second. */
     @Synchronized
     public fun of(total: Double): Double {
         if (clock.elapsed(periodStart) >= period) {
-            previousPeak = peak
-            peak = 1
+            previousPeakSize = peakSize
+            peakSize = 1
             periodStart = clock.nanos()
         }
-        peak = maxOf(peak, fleetSize())
-        return total / maxOf(peak, previousPeak)
+        peakSize = maxOf(peakSize, fleetSize())
+        return total / maxOf(peakSize, previousPeakSize)
     }
 }
--- a/store/src/main/kotlin/dev/almondhaven/store/FullJitter.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/FullJitter.kt
@@ -4,22 +4,22 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.nanoseconds
 
-/** Random pauses between zero and a bound that doubles with every failure, up to [longest]. */
+/** Exponential backoff with full jitter: random delays up to a bound that doubles per failure up to [cap]. */
 public data class FullJitter(
-    private val first: Duration,
-    private val longest: Duration,
+    private val base: Duration,
+    private val cap: Duration,
 ) {
-    /** The pause after the failure number [failures], counted from 1. */
+    /** Returns the delay after [failures] consecutive failures, at least 1. */
     public fun delay(
         failures: Int,
         random: Random,
     ): Duration {
         require(failures >= 1) { "failures must be 1 or more, got $failures" }
-        val bound = minOf(longest, first * (1 shl minOf(failures - 1, MAXIMUM_DOUBLINGS)))
+        val bound = minOf(cap, base * (1 shl minOf(failures - 1, MAX_DOUBLINGS)))
         return random.nextLong(bound.inWholeNanoseconds + 1).nanoseconds
     }
 
     private companion object {
-        const val MAXIMUM_DOUBLINGS = 20
+        const val MAX_DOUBLINGS = 20
     }
 }
--- a/store/src/main/kotlin/dev/almondhaven/store/GuardedObjectStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/GuardedObjectStore.kt
@@ -10,24 +10,25 @@
 import kotlin.time.Duration.Companion.nanoseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The kinds of calls of the object API. */
+/** The operations of the object API. */
 public enum class CallKind { GET, PUT, DELETE, LIST, WATCH }
 
-/** Hears of every call that reached the platform, or would have. */
+/** Is notified of every call attempt that passed the rate limiter and the circuit breaker. */
 public fun interface PlatformCallListener {
-    /** [error] is null when the call was answered. */
+    /** Called after an attempt that took [duration]; [error] is null if it succeeded. */
     public fun onCall(
         kind: CallKind,
         error: PlatformError?,
-        took: Duration,
+        duration: Duration,
     )
 }
 
 /**
- * What guards the calls of one process.
+ * Rate limits, circuit breaker and retry settings for the platform calls of one process.
  *
- * @property deadline longest time for one operation with its retries.
- * @property maxAttempts most calls for one operation.
+ * @property deadline time after which no further attempt of an operation starts; also the longest wait of one attempt for
+ *   the rate limiter.
+ * @property maxAttempts maximum number of attempts per operation, the first one included.
  */
 public class CallGuards(
     public val readLimiter: ProcessRateLimiter,
@@ -40,11 +41,12 @@
 )
 
 /**
- * Makes another store's calls within a budget, behind a circuit breaker, and tries failed ones again until a deadline.
+ * Wraps another store with rate limits, a circuit breaker and retries until a deadline.
  *
- * A write whose answer was lost is settled by reading the object back: if it holds the very value, the write counts as
- * done, so a value ought to name its writer's attempt where equal values of two writers must be told apart. If the
- * object changed otherwise the write stays [PlatformError.NoAnswer], since it may have been overwritten.
+ * After a write whose response was lost, the object is read back. If it holds exactly the written value, the write
+ * counts as successful; where equal values of two writers must be distinguished, a value should therefore identify its
+ * writer and attempt. If the object has changed in another way, the result stays [PlatformError.NoAnswer], since the
+ * write may have taken effect and been overwritten.
  */
 public class GuardedObjectStore(
     private val inner: ObjectStore,
@@ -53,16 +55,16 @@
     private val random: Random,
     private val sleep: (Duration) -> Unit = { Thread.sleep(it.inWholeMilliseconds) },
 ) : ObjectStore {
-    override fun get(key: ObjectKey): Either<PlatformError, StoredObject?> = retried { getOnce(key) }
+    override fun get(key: ObjectKey): Either<PlatformError, StoredObject?> = withRetries { getOnce(key) }
 
     override fun list(
         prefix: String,
         after: ObjectKey?,
         limit: Int,
     ): Either<PlatformError, ObjectPage> =
-        retried { guarded(CallKind.LIST, guards.readLimiter) { inner.list(prefix, after, limit) } }
+        withRetries { attempt(CallKind.LIST, guards.readLimiter) { inner.list(prefix, after, limit) } }
 
-    // A watch takes too long to serve as the probe of an open circuit.
+    // A long-polling watch takes too long to serve as the probe of an open circuit.
     override fun watch(
         prefix: String,
         after: Revision,
@@ -71,7 +73,7 @@
         if (guards.circuitBreaker.isOpen) {
             CIRCUIT_OPEN.left()
         } else {
-            guarded(CallKind.WATCH, guards.readLimiter) { inner.watch(prefix, after, wait) }
+            attempt(CallKind.WATCH, guards.readLimiter) { inner.watch(prefix, after, wait) }
         }
 
     override fun put(
@@ -79,13 +81,14 @@
         value: String,
         condition: WriteCondition,
     ): Either<PlatformError, ObjectVersion> {
-        var unsettled = false
-        return retried {
-            val result = guarded(CallKind.PUT, guards.writeLimiter) { inner.put(key, value, condition) }
+        var isOutcomeUnknown = false
+        return withRetries {
+            val result = attempt(CallKind.PUT, guards.writeLimiter) { inner.put(key, value, condition) }
             val error = result.leftOrNull()
-            if (error is PlatformError.NoAnswer) unsettled = true
-            val lost = unsettled && (error is PlatformError.NoAnswer || error == PlatformError.ConditionFailed)
-            if (lost) settle(key, value, condition) else result
+            if (error is PlatformError.NoAnswer) isOutcomeUnknown = true
+            val mustReadBack =
+                isOutcomeUnknown && (error is PlatformError.NoAnswer || error == PlatformError.ConditionFailed)
+            if (mustReadBack) resolvePut(key, value, condition) else result
         }
     }
 
@@ -93,27 +96,30 @@
         key: ObjectKey,
         version: ObjectVersion,
     ): Either<PlatformError, Unit> {
-        var unsettled = false
-        return retried {
-            val result = guarded(CallKind.DELETE, guards.writeLimiter) { inner.delete(key, version) }
+        var isOutcomeUnknown = false
+        return withRetries {
+            val result = attempt(CallKind.DELETE, guards.writeLimiter) { inner.delete(key, version) }
             val error = result.leftOrNull()
-            if (unsettled && error == PlatformError.ConditionFailed) return@retried settleDelete(key)
-            if (error is PlatformError.NoAnswer) unsettled = true
+            if (isOutcomeUnknown && error == PlatformError.ConditionFailed) return@withRetries resolveDelete(key)
+            if (error is PlatformError.NoAnswer) isOutcomeUnknown = true
             result
         }
     }
 
-    /** Finds out by reading whether the write of [value] took effect. */
-    private fun settle(
+    /** Reads the object back to determine whether the write of [value] took effect. */
+    private fun resolvePut(
         key: ObjectKey,
         value: String,
         condition: WriteCondition,
     ): Either<PlatformError, ObjectVersion> {
-        val current = getOnce(key).fold({ return PlatformError.NoAnswer("not read back: $it").left() }, { it })
+        val current =
+            getOnce(
+                key,
+            ).fold({ return PlatformError.NoAnswer("reading the object back failed: $it").left() }, { it })
         return when {
             current?.value == value -> current.version.right()
-            stillHolds(condition, current) -> PlatformError.NoAnswer("not in effect yet").left()
-            else -> PlatformError.NoAnswer("overwritten, or never in effect").left()
+            stillHolds(condition, current) -> PlatformError.NoAnswer("the write has not taken effect yet").left()
+            else -> PlatformError.NoAnswer("the write was overwritten or never took effect").left()
         }
     }
 
@@ -126,15 +132,18 @@
             is WriteCondition.AtVersion -> current?.version == condition.version
         }
 
-    private fun settleDelete(key: ObjectKey): Either<PlatformError, Unit> {
-        val current = getOnce(key).fold({ return PlatformError.NoAnswer("not read back: $it").left() }, { it })
+    private fun resolveDelete(key: ObjectKey): Either<PlatformError, Unit> {
+        val current =
+            getOnce(
+                key,
+            ).fold({ return PlatformError.NoAnswer("reading the object back failed: $it").left() }, { it })
         return if (current == null) Unit.right() else PlatformError.ConditionFailed.left()
     }
 
     private fun getOnce(key: ObjectKey): Either<PlatformError, StoredObject?> =
-        guarded(CallKind.GET, guards.readLimiter) { inner.get(key) }
+        attempt(CallKind.GET, guards.readLimiter) { inner.get(key) }
 
-    private fun <T> retried(call: () -> Either<PlatformError, T>): Either<PlatformError, T> {
+    private fun <T> withRetries(call: () -> Either<PlatformError, T>): Either<PlatformError, T> {
         val end = clock.nanos() + guards.deadline.inWholeNanoseconds
         var failures = 0
         var mayHaveTakenEffect = false
@@ -142,8 +151,8 @@
             val result = call()
             val error = result.leftOrNull()
             if (error is PlatformError.NoAnswer) mayHaveTakenEffect = true
-            val passing = error is PlatformError.NotSent || error is PlatformError.NoAnswer
-            if (!passing) return result
+            val isTransient = error is PlatformError.NotSent || error is PlatformError.NoAnswer
+            if (!isTransient) return result
             failures++
             val pause = guards.backoff.delay(failures, random)
             if (failures >= guards.maxAttempts || clock.nanos() + pause.inWholeNanoseconds - end >= 0) {
@@ -153,29 +162,29 @@
         }
     }
 
-    private fun <T> guarded(
+    private fun <T> attempt(
         kind: CallKind,
-        budget: ProcessRateLimiter,
+        limiter: ProcessRateLimiter,
         call: () -> Either<PlatformError, T>,
     ): Either<PlatformError, T> {
-        waitFor(budget)?.let { return it.left() }
+        awaitToken(limiter)?.let { return it.left() }
         if (!guards.circuitBreaker.tryAcquire()) return CIRCUIT_OPEN.left()
         val started = clock.nanos()
-        val result = answered(call)
+        val result = catchExceptions(call)
         val error = result.leftOrNull()
-        report(error)
+        recordOutcome(error)
         guards.listener.onCall(kind, error, (clock.nanos() - started).nanoseconds)
         return result
     }
 
-    private fun <T> answered(call: () -> Either<PlatformError, T>): Either<PlatformError, T> =
+    private fun <T> catchExceptions(call: () -> Either<PlatformError, T>): Either<PlatformError, T> =
         try {
             call()
         } catch (exception: RuntimeException) {
             PlatformError.NoAnswer("$exception").left()
         }
 
-    private fun report(error: PlatformError?) {
+    private fun recordOutcome(error: PlatformError?) {
         if (error is PlatformError.NotSent || error is PlatformError.NoAnswer) {
             guards.circuitBreaker.recordFailure()
         } else if (guards.circuitBreaker.recordResponse()) {
@@ -184,19 +193,23 @@
         }
     }
 
-    /** Waits for a token within the deadline; the error if none comes. */
-    private fun waitFor(budget: ProcessRateLimiter): PlatformError? {
+    /** Waits for a token; returns an error if none becomes available within the deadline. */
+    private fun awaitToken(limiter: ProcessRateLimiter): PlatformError? {
         val end = clock.nanos() + guards.deadline.inWholeNanoseconds
         while (true) {
-            val pause = budget.tryAcquire()
+            val pause = limiter.tryAcquire()
             if (pause == Duration.ZERO) return null
-            if (clock.nanos() + pause.inWholeNanoseconds - end >= 0) return PlatformError.NotSent("call budget spent")
-            sleep(maxOf(pause, SHORTEST_SLEEP))
+            if (clock.nanos() + pause.inWholeNanoseconds - end >=
+                0
+            ) {
+                return PlatformError.NotSent("rate limit: no token within ${guards.deadline}")
+            }
+            sleep(maxOf(pause, MIN_SLEEP))
         }
     }
 
     private companion object {
-        val SHORTEST_SLEEP = 1.milliseconds
-        val CIRCUIT_OPEN = PlatformError.NotSent("circuit open")
+        val MIN_SLEEP = 1.milliseconds
+        val CIRCUIT_OPEN = PlatformError.NotSent("circuit breaker is open")
     }
 }
--- a/store/src/main/kotlin/dev/almondhaven/store/HttpObjectStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/HttpObjectStore.kt
@@ -25,11 +25,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The object API over HTTP.
+ * Client of the platform's object API over HTTP.
  *
- * `GET|PUT|DELETE /objects/{key}` with entity tags as versions (`If-Match`, `If-None-Match: *`),
- * `GET /objects?prefix=&after=&limit=` for listings and `GET /watch?prefix=&after=&wait=` as a long poll, whose `wait`
- * is in milliseconds.
+ * `GET|PUT|DELETE /objects/{key}` with ETags as versions (`If-Match`, `If-None-Match: *`),
+ * `GET /objects?prefix=&after=&limit=` for listings and `GET /watch?prefix=&after=&wait=` as a long poll; `wait` is in
+ * milliseconds.
  */
 public class HttpObjectStore(
     address: URI,
@@ -140,15 +140,15 @@
                 .join()
                 .right()
         } catch (exception: CompletionException) {
-            failure(exception.cause ?: exception).left()
+            errorOf(exception.cause ?: exception).left()
         }
 
     private fun bodyOf(body: String) = HttpData.ofUtf8(body)
 
-    private fun failure(cause: Throwable): PlatformError =
+    private fun errorOf(cause: Throwable): PlatformError =
         when (cause) {
             is UnprocessedRequestException -> PlatformError.NotSent("${cause.cause}")
-            is ResponseTimeoutException -> PlatformError.NoAnswer("no answer in time")
+            is ResponseTimeoutException -> PlatformError.NoAnswer("no response within the timeout")
             else -> PlatformError.NoAnswer("$cause")
         }
 
@@ -160,12 +160,12 @@
         return try {
             parse(response.contentUtf8()).right()
         } catch (exception: SerializationException) {
-            PlatformError.NoAnswer("unreadable answer: ${exception.message}").left()
+            PlatformError.NoAnswer("unreadable response: ${exception.message}").left()
         }
     }
 
     private fun unexpected(response: AggregatedHttpResponse): PlatformError =
-        PlatformError.NoAnswer("status ${response.status()}")
+        PlatformError.NoAnswer("unexpected status ${response.status()}")
 
     private fun version(response: AggregatedHttpResponse): ObjectVersion =
         ObjectVersion(
@@ -180,7 +180,7 @@
     private fun path(key: ObjectKey): String = "/objects/${key.value}"
 
     public companion object {
-        /** How long one call may take unless the settings say otherwise. */
+        /** Default timeout of a call; a watch may take its wait time in addition. */
         public val DEFAULT_CALL_TIMEOUT: Duration = 2.seconds
         private const val MAXIMUM_RESPONSE_BYTES = 32_000_000L
     }
--- a/store/src/main/kotlin/dev/almondhaven/store/InMemoryObjectStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/InMemoryObjectStore.kt
@@ -8,10 +8,10 @@
 import kotlin.concurrent.withLock
 import kotlin.time.Duration
 
-/** An object store in memory with the platform's semantics: the core of the stand-in and of focused tests. */
+/** An in-memory object store with the platform's semantics, used by the platform's stand-in and by unit tests. */
 public class InMemoryObjectStore : ObjectStore {
     private val lock = ReentrantLock()
-    private val written = lock.newCondition()
+    private val changed = lock.newCondition()
     private val objects = TreeMap<String, StoredObject>()
     private val history = ArrayDeque<RecordedChange>()
     private var revision = 0L
@@ -78,10 +78,14 @@
         lock.withLock {
             var remaining = wait.inWholeNanoseconds
             while (true) {
-                if (after.value < oldestWatchable() || after.value > revision) return PlatformError.RevisionGone.left()
+                if (after.value < oldestWatchableRevision() ||
+                    after.value > revision
+                ) {
+                    return PlatformError.RevisionGone.left()
+                }
                 val changes = changesAfter(prefix, after)
                 if (changes.isNotEmpty() || remaining <= 0) return WatchResult(changes, Revision(revision)).right()
-                remaining = written.awaitNanos(remaining)
+                remaining = changed.awaitNanos(remaining)
             }
             @Suppress("UNREACHABLE_CODE")
             error("unreachable")
@@ -98,13 +102,13 @@
                         .startsWith(prefix)
             }.map { it.change }
 
-    private fun oldestWatchable(): Long = if (history.isEmpty()) revision else history.first().revision - 1
+    private fun oldestWatchableRevision(): Long = if (history.isEmpty()) revision else history.first().revision - 1
 
     private fun record(change: ObjectChange) {
         revision++
         history.addLast(RecordedChange(revision, change))
-        if (history.size > HISTORY_LIMIT) history.removeFirst()
-        written.signalAll()
+        if (history.size > MAX_HISTORY_CHANGES) history.removeFirst()
+        changed.signalAll()
     }
 
     private fun holds(
@@ -117,6 +121,6 @@
         }
 
     private companion object {
-        const val HISTORY_LIMIT = 10_000
+        const val MAX_HISTORY_CHANGES = 10_000
     }
 }
--- a/store/src/main/kotlin/dev/almondhaven/store/ObjectStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ObjectStore.kt
@@ -13,21 +13,21 @@
     override fun toString(): String = value
 }
 
-/** Version of one object; the platform sets a new one at every write. */
+/** Version of one object; every write assigns a new one. */
 @Serializable
 @JvmInline
 public value class ObjectVersion(
     public val value: Long,
 )
 
-/** Position in the platform's history of writes; watches resume from it. */
+/** Position in the platform's history of writes, from which a watch can resume. */
 @Serializable
 @JvmInline
 public value class Revision(
     public val value: Long,
 )
 
-/** An object as the platform returned it. */
+/** An object with its value and version at the time of the read. */
 @Serializable
 public data class StoredObject(
     public val key: ObjectKey,
@@ -46,35 +46,35 @@
     ) : WriteCondition
 }
 
-/** Why a call of the object API gave no result. */
+/** Why a call of the object API failed. */
 public sealed interface PlatformError {
     /** The condition didn't hold; the write had no effect. */
     public data object ConditionFailed : PlatformError
 
-    /** The call certainly had no effect. */
+    /** The platform did not process the call, so it certainly had no effect. */
     public data class NotSent(
         public val reason: String,
     ) : PlatformError
 
-    /** No answer came; a write may or may not have taken effect, now or later. */
+    /** No usable response was received; a write may have taken effect, may do so later, or never. */
     public data class NoAnswer(
         public val reason: String,
     ) : PlatformError
 
-    /** The value is over the platform's limit; the write had no effect. */
+    /** The value exceeds [ObjectStore.MAXIMUM_VALUE_BYTES]; the write had no effect. */
     public data class ValueTooLarge(
         public val bytes: Int,
     ) : PlatformError
 
-    /** The watch's revision is too old; read again and watch from the new revision. */
+    /** The platform no longer has the history after the watch's revision: list again and watch from the new one. */
     public data object RevisionGone : PlatformError
 }
 
 /**
  * A page of a listing.
  *
- * @property revision position of the listing in the history of writes.
- * @property next key to continue after, or null at the end.
+ * @property revision revision at which the page was read; a watch can start from it.
+ * @property next value of `after` for the next page, or null on the last page.
  */
 @Serializable
 public data class ObjectPage(
@@ -83,14 +83,14 @@
     public val next: ObjectKey? = null,
 )
 
-/** A write that a watch reports; [version] is null when the object was deleted. */
+/** A write or deletion reported by a watch; [version] is null when the object was deleted. */
 @Serializable
 public data class ObjectChange(
     public val key: ObjectKey,
     public val version: ObjectVersion?,
 )
 
-/** Changes since the watched revision, possibly none. */
+/** The changes since the watched revision, possibly none, and the [revision] to watch from next. */
 @Serializable
 public data class WatchResult(
     public val changes: List<ObjectChange>,
@@ -98,11 +98,11 @@
 )
 
 /**
- * The platform's object API. Calls block until they have an answer or their deadline passes: make them on a duty
- * thread, never on an event loop. Every call counts against the platform's rate limit.
+ * The platform's object API. Calls block until a response arrives or their deadline passes, so make them on a thread
+ * that may block, never on an event loop. Every call counts against the platform's rate limit.
  */
 public interface ObjectStore {
-    /** The object at [key], or null when there is none. */
+    /** Returns the object at [key], or null if there is none. */
     public fun get(key: ObjectKey): Either<PlatformError, StoredObject?>
 
     /** Writes [value] at [key] if [condition] holds; returns the new version. */
@@ -118,14 +118,14 @@
         version: ObjectVersion,
     ): Either<PlatformError, Unit>
 
-    /** Objects whose keys begin with [prefix], in order of keys, beginning behind [after]. */
+    /** Lists up to [limit] objects whose keys start with [prefix], in key order, starting after [after]. */
     public fun list(
         prefix: String,
         after: ObjectKey? = null,
         limit: Int = DEFAULT_PAGE_SIZE,
     ): Either<PlatformError, ObjectPage>
 
-    /** Waits up to [wait] for writes below [prefix] later than [after]. */
+    /** Waits up to [wait] for changes to keys that start with [prefix], later than revision [after]. */
     public fun watch(
         prefix: String,
         after: Revision,
@@ -133,10 +133,10 @@
     ): Either<PlatformError, WatchResult>
 
     public companion object {
-        /** Largest value the platform holds, in bytes. */
+        /** Maximum size of a value in bytes. */
         public const val MAXIMUM_VALUE_BYTES: Int = 1_000_000
 
-        /** Objects on a page of a listing unless the caller says otherwise. */
+        /** Default number of objects on a page of a listing. */
         public const val DEFAULT_PAGE_SIZE: Int = 100
     }
 }
