--- a/store/src/test/kotlin/dev/almondhaven/store/AuditTrailTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/AuditTrailTest.kt
@@ -24,9 +24,9 @@
     private fun faults(): List<Generation> = report().faults.map { it.generation }
 
     @Nested
-    inner class `a trail` {
+    inner class `an audit trail` {
         @Test
-        fun `lists every entry in order and verifies`() {
+        fun `lists all entries in order of acceptance and verifies`() {
             listOf("c", "a", "b").forEach { publish(it) }
 
             expectThat(report().records.map { it.entry.id.value }).containsExactly("c", "a", "b")
@@ -34,7 +34,7 @@
         }
 
         @Test
-        fun `of more than a page verifies`() {
+        fun `longer than one listing page verifies`() {
             repeat(250) { publish("note-$it") }
 
             expectThat(report().records.size).isEqualTo(250)
@@ -42,7 +42,7 @@
         }
 
         @Test
-        fun `with an altered entry doesn't verify`() {
+        fun `reports a fault for an altered entry`() {
             listOf("a", "b", "c").forEach { publish(it) }
             val key = ObjectKey("configuration/entries/b")
             val stored = checkNotNull(objects.get(key).getOrNull())
@@ -52,7 +52,7 @@
         }
 
         @Test
-        fun `with a missing entry doesn't verify`() {
+        fun `reports faults at the entry after a missing one`() {
             listOf("a", "b", "c").forEach { publish(it) }
             val key = ObjectKey("configuration/entries/b")
             objects.delete(key, checkNotNull(objects.get(key).getOrNull()).version)
--- a/store/src/test/kotlin/dev/almondhaven/store/ConfigurationStoreTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/ConfigurationStoreTest.kt
@@ -42,21 +42,21 @@
         ),
     )
 
-    /** Calls [interfere] once, immediately before the first write of the head. */
-    private class Overtaken(
+    /** Calls [beforeFirstHeadWrite] once, immediately before the first write of the head. */
+    private class InterferingObjectStore(
         private val objects: ObjectStore,
-        private val interfere: () -> Unit,
+        private val beforeFirstHeadWrite: () -> Unit,
     ) : ObjectStore by objects {
-        private var interfered = false
+        private var hasInterfered = false
 
         override fun put(
             key: ObjectKey,
             value: String,
             condition: WriteCondition,
         ) = objects.run {
-            if (!interfered && key == ConfigurationStore.HEAD_KEY) {
-                interfered = true
-                interfere()
+            if (!hasInterfered && key == ConfigurationStore.HEAD_KEY) {
+                hasInterfered = true
+                beforeFirstHeadWrite()
             }
             put(key, value, condition)
         }
@@ -65,7 +65,7 @@
     @Nested
     inner class `publishing` {
         @Test
-        fun `the same note twice counts once`() {
+        fun `the same note twice accepts it once`() {
             val store = ConfigurationStore(InMemoryObjectStore())
 
             val results = List(2) { store.publish(note("first"), publisher) }
@@ -76,7 +76,7 @@
         }
 
         @Test
-        fun `the same note long after it left the recent list counts once`() {
+        fun `the same note again after it has left the recent entries accepts it once`() {
             val store = ConfigurationStore(InMemoryObjectStore())
             store.publish(note("first"), publisher)
             repeat(300) { store.publish(note("later-$it"), publisher) }
@@ -86,7 +86,7 @@
         }
 
         @Test
-        fun `another note under a used id is refused`() {
+        fun `a different note with a used id is rejected`() {
             val store = ConfigurationStore(InMemoryObjectStore())
             store.publish(note("first", domain = "west"), publisher)
 
@@ -95,11 +95,12 @@
         }
 
         @Test
-        fun `against another operator who was first is a conflict that shows the difference`() {
+        fun `after another operator's concurrent publication is a conflict that lists the changes`() {
             val objects = InMemoryObjectStore()
-            val overtaken = Overtaken(objects) { ConfigurationStore(objects).publish(note("other"), publisher) }
+            val interfering =
+                InterferingObjectStore(objects) { ConfigurationStore(objects).publish(note("other"), publisher) }
 
-            val result = ConfigurationStore(overtaken).publish(note("mine"), publisher)
+            val result = ConfigurationStore(interfering).publish(note("mine"), publisher)
 
             val change = CatalogueChange(ChangeKind.ADDED, "failureDomains[other]")
             expectThat(result)
@@ -107,7 +108,7 @@
         }
 
         @Test
-        fun `a snapshot over the platform's limit is refused`() {
+        fun `a snapshot over the platform's size limit is rejected`() {
             val domains = List(20_000) { FailureDomain(FailureDomainId("domain-$it"), RegionId("wales")) }
             val large = ReleaseNote(NoteId("large"), "test", failureDomains = FailureDomainChanges(added = domains))
 
@@ -119,17 +120,17 @@
         }
 
         @Test
-        fun `a roll-out fills in when it starts, and goes on when the version is changed`() {
+        fun `a roll-out sets its start time, and keeps it when the version is changed`() {
             val store = ConfigurationStore(InMemoryObjectStore())
             val first = ModelVersion(ModelId("m"), VersionId("1"), price = Price(1.0, 1.0), quality = QualityPrior(0.9))
             val rollOut = RollOut(VersionId("1"), steps = listOf(RollOutStep(0.1, 5)))
             val second = first.copy(version = VersionId("2"), rollOut = rollOut)
             val added = ModelChanges(added = listOf(first, second))
-            val dearer = ModelChanges(changed = listOf(second.copy(price = Price(2.0, 2.0))))
+            val priceChanged = ModelChanges(changed = listOf(second.copy(price = Price(2.0, 2.0))))
 
             store.publish(ConfigurationEntry.NotePublished(ReleaseNote(NoteId("a"), "x", added)), publisher)
             store.publish(
-                ConfigurationEntry.NotePublished(ReleaseNote(NoteId("b"), "x", dearer)),
+                ConfigurationEntry.NotePublished(ReleaseNote(NoteId("b"), "x", priceChanged)),
                 publisher.copy(acceptedAt = 9_000),
             )
 
@@ -152,9 +153,9 @@
     }
 
     @Nested
-    inner class `a platform that fails` {
+    inner class `a failing platform` {
         @Test
-        fun `and loses every answer still gets the note accepted once`() {
+        fun `that loses every response still accepts the note once`() {
             val objects = FaultyObjectStore(InMemoryObjectStore(), seed = 1, ObjectStoreFaults(lostResponses = 1.0))
 
             expectThat(ConfigurationStore(objects).publish(note("first"), publisher))
@@ -162,7 +163,7 @@
         }
 
         @Test
-        fun `and goes down behind a write leaves it unsettled until the note is published again`() {
+        fun `that goes down after a write leaves the outcome unsettled until the note is published again`() {
             val inner = InMemoryObjectStore()
             val objects = FaultyObjectStore(inner, seed = 1, ObjectStoreFaults(lateWrites = 1.0))
             val downAfterFirst = PublishRetryPolicy { attempt -> objects.let { it.outage = true }.let { attempt < 3 } }
@@ -178,7 +179,7 @@
         }
 
         @Test
-        fun `before anything was written is told as not published`() {
+        fun `that is down before the first write is reported as not published`() {
             val objects = FaultyObjectStore(InMemoryObjectStore(), seed = 1).apply { outage = true }
 
             expectThat(ConfigurationStore(objects).publish(note("first"), publisher).leftOrNull())
@@ -186,7 +187,7 @@
         }
 
         @Test
-        fun `between the two writes loses no entry, since the next publisher writes it`() {
+        fun `between the two writes loses no entry, since the next publisher stores it`() {
             val inner = InMemoryObjectStore()
             val crashing =
                 object : ObjectStore by inner {
--- a/store/src/test/kotlin/dev/almondhaven/store/GuardedObjectStoreTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/GuardedObjectStoreTest.kt
@@ -22,23 +22,23 @@
     private val clock = NanoClock { now }
     private val inMemory = InMemoryObjectStore()
 
-    private fun budget(rate: Double) = ProcessRateLimiter(clock, burst = 10.0) { rate }
+    private fun rateLimiter(rate: Double) = ProcessRateLimiter(clock, burst = 10.0) { rate }
 
     private fun guarded(
         inner: ObjectStore,
         seed: Int = 1,
         rate: Double = 1_000.0,
-        fails: Int = Int.MAX_VALUE,
+        failuresToOpen: Int = Int.MAX_VALUE,
     ): GuardedObjectStore {
-        val breaker = CircuitBreaker(clock, Random(seed), failuresToOpen = fails)
-        val guards = CallGuards(budget(rate), budget(rate), breaker)
+        val breaker = CircuitBreaker(clock, Random(seed), failuresToOpen = failuresToOpen)
+        val guards = CallGuards(rateLimiter(rate), rateLimiter(rate), breaker)
         return GuardedObjectStore(inner, guards, clock, Random(seed)) { now += it.inWholeNanoseconds }
     }
 
     @Nested
     inner class `a write` {
         @Test
-        fun `whose answer is lost is settled by reading it back`() {
+        fun `whose response is lost is resolved by reading the object back`() {
             val faulty = FaultyObjectStore(inMemory, seed = 1, ObjectStoreFaults(lostResponses = 1.0))
 
             val written = guarded(faulty).put(ObjectKey("a"), "mine", WriteCondition.Absent)
@@ -47,57 +47,57 @@
         }
 
         @Test
-        fun `never counts as done unless it took effect, nor as undone if it did`() {
-            val wrong = (1L..3_000L).filter { seed -> !truthful(seed) }
+        fun `is reported as successful only if it took effect, and as without effect only if it didn't`() {
+            val misreportedSeeds = (1L..3_000L).filter { seed -> !reportsOutcomesCorrectly(seed) }
 
-            expectThat(wrong).isEmpty()
+            expectThat(misreportedSeeds).isEmpty()
         }
 
-        private fun truthful(seed: Long): Boolean {
+        private fun reportsOutcomesCorrectly(seed: Long): Boolean {
             val store = InMemoryObjectStore()
             val faults = ObjectStoreFaults(notSent = 0.1, lostResponses = 0.2, lateWrites = 0.2, staleReads = 0.2)
             val faulty = FaultyObjectStore(store, seed, faults)
-            val taken = HashSet<String>()
-            val recording = RecordingStore(faulty, store, taken)
+            val effectiveValues = HashSet<String>()
+            val recording = RecordingStore(faulty, store, effectiveValues)
             var version: ObjectVersion? = null
             return (1..10).all { number ->
                 val value = "writer-$number"
                 val condition = version?.let { WriteCondition.AtVersion(it) } ?: WriteCondition.Absent
                 val result = guarded(recording, seed.toInt()).put(ObjectKey("a"), value, condition)
                 version = store.get(ObjectKey("a")).getOrNull()?.version
-                taken += listOfNotNull(store.get(ObjectKey("a")).getOrNull()?.value)
+                effectiveValues += listOfNotNull(store.get(ObjectKey("a")).getOrNull()?.value)
                 when (result.leftOrNull()) {
-                    null -> value in taken
+                    null -> value in effectiveValues
                     is PlatformError.NoAnswer -> true
-                    else -> value !in taken
+                    else -> value !in effectiveValues
                 }
             }
         }
     }
 
-    /** Notes every value that is in effect after a call. */
+    /** Adds the value that is stored after each call, read past the injected faults, to [seen]. */
     private class RecordingStore(
         private val inner: ObjectStore,
-        private val truth: ObjectStore,
+        private val faultless: ObjectStore,
         private val seen: MutableSet<String>,
     ) : ObjectStore by inner {
-        override fun get(key: ObjectKey) = inner.get(key).also { note(key) }
+        override fun get(key: ObjectKey) = inner.get(key).also { recordStored(key) }
 
         override fun put(
             key: ObjectKey,
             value: String,
             condition: WriteCondition,
-        ) = inner.put(key, value, condition).also { note(key) }
+        ) = inner.put(key, value, condition).also { recordStored(key) }
 
-        private fun note(key: ObjectKey) {
-            truth.get(key).getOrNull()?.let { seen += it.value }
+        private fun recordStored(key: ObjectKey) {
+            faultless.get(key).getOrNull()?.let { seen += it.value }
         }
     }
 
     @Nested
-    inner class `the call budget` {
+    inner class `the rate limiter` {
         @Test
-        fun `bounds the calls of a long time and is empty after an outage`() {
+        fun `limits the calls of a minute to its rate and burst`() {
             val faulty = FaultyObjectStore(inMemory, seed = 1)
             val objects = guarded(faulty, rate = 5.0)
             while (now < 1.minutes.inWholeNanoseconds) objects.get(ObjectKey("a"))
@@ -106,7 +106,7 @@
         }
 
         @Test
-        fun `of all routers stays under the platform's rate when the fleet falls apart`() {
+        fun `keeps its share of the platform's rate when the fleet is partitioned`() {
             var size = 370
             val share = FleetRateShare(clock) { size }
             val before = share.of(200.0)
@@ -117,9 +117,9 @@
     }
 
     @Nested
-    inner class `the circuit` {
+    inner class `the circuit breaker` {
         @Test
-        fun `opens after failures, lets one probe through and closes when it is answered`() {
+        fun `opens after failures, lets one probe through and closes when the platform responds to it`() {
             val breaker = CircuitBreaker(clock, Random(1), failuresToOpen = 2)
             repeat(2) { breaker.recordFailure() }
             expectThat(breaker.tryAcquire()).isFalse()
@@ -131,9 +131,9 @@
         }
 
         @Test
-        fun `spares a platform that is down`() {
+        fun `limits the calls of a platform that is down to one per two seconds`() {
             val faulty = FaultyObjectStore(inMemory, seed = 1).apply { outage = true }
-            val objects = guarded(faulty, fails = 5)
+            val objects = guarded(faulty, failuresToOpen = 5)
             repeat(10_000) {
                 now += 100_000_000
                 expectThat(objects.get(ObjectKey("a")).leftOrNull()).isA<PlatformError>()
--- a/store/src/test/kotlin/dev/almondhaven/store/PublishInterleavingPropertyTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/PublishInterleavingPropertyTest.kt
@@ -35,7 +35,7 @@
             )
         }
 
-    /** Operators that publish and retry on one failing platform, some in the middle of another's calls. */
+    /** Operators that publish and retry on one faulty platform; some publish between the calls of another's publication. */
     private class Run(
         seed: Long,
         faults: ObjectStoreFaults,
@@ -43,58 +43,58 @@
         private val random = Random(seed)
         private val inner = InMemoryObjectStore()
         private val faulty = FaultyObjectStore(inner, seed, faults)
-        private val operators = Interrupted()
-        private var depth = 0
+        private val interleaving = InterleavingStore()
+        private var nestedPublications = 0
         private var nextId = 0
-        val observed = mutableListOf<Generation>()
+        val observedGenerations = mutableListOf<Generation>()
         val results = mutableListOf<Pair<NoteId, Either<PublishError, Accepted>>>()
 
-        private inner class Interrupted : ObjectStore by faulty {
+        private inner class InterleavingStore : ObjectStore by faulty {
             override fun put(
                 key: ObjectKey,
                 value: String,
                 condition: WriteCondition,
             ): Either<PlatformError, ObjectVersion> {
-                if (depth < 3 && random.nextDouble() < 0.3) publish()
-                return faulty.put(key, value, condition).also { observe() }
+                if (nestedPublications < 3 && random.nextDouble() < 0.3) publish()
+                return faulty.put(key, value, condition).also { recordGeneration() }
             }
         }
 
-        private fun observe() {
-            ConfigurationStore(inner).head().getOrNull()?.let { observed += it.head.generation }
+        private fun recordGeneration() {
+            ConfigurationStore(inner).head().getOrNull()?.let { observedGenerations += it.head.generation }
         }
 
         private fun publish() {
-            depth++
-            val again = nextId > 0 && random.nextDouble() < 0.4
-            val id = NoteId("note-${if (again) random.nextInt(nextId) else nextId++}")
+            nestedPublications++
+            val republishes = nextId > 0 && random.nextDouble() < 0.4
+            val id = NoteId("note-${if (republishes) random.nextInt(nextId) else nextId++}")
             val domain = FailureDomain(FailureDomainId(id.value), RegionId("wales"))
             val note = ReleaseNote(id, "x", failureDomains = FailureDomainChanges(added = listOf(domain)))
             val publisher = Publisher("operator", acceptedAt = random.nextLong(1, 1_000_000), host = "desk")
-            val store = ConfigurationStore(operators, PublishRetryPolicy.immediate(random.nextInt(1, 6)))
+            val store = ConfigurationStore(interleaving, PublishRetryPolicy.immediate(random.nextInt(1, 6)))
             results += id to store.publish(ConfigurationEntry.NotePublished(note), publisher)
-            depth--
+            nestedPublications--
         }
 
         fun run(): AuditReport {
             repeat(20) { publish() }
             faulty.deliverLateWrites()
-            observe()
+            recordGeneration()
             return checkNotNull(AuditTrail(inner).read().getOrNull())
         }
     }
 
     @Nested
-    inner class `racing operators on a platform that loses answers, delays writes and reads stale` {
+    inner class `concurrent operators on a platform with lost responses, late writes and stale reads` {
         @Test
-        fun `are told the truth, publish each id at most once, and leave an unbroken trail`() {
+        fun `get correct results, publish each id at most once, and leave an intact audit trail`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = 4_071, iterations = 400), Arb.long(), faults) { seed, faults ->
                     val run = Run(seed, faults)
                     val report = run.run()
 
                     val generations = report.records.associate { it.entry.id to it.generation }
-                    val refusedForGood = refusedForGood(run)
+                    val neverPublished = neverPublished(run)
                     expectThat(report.faults).isEmpty()
                     expectThat(
                         report.records
@@ -102,14 +102,14 @@
                             .toSet()
                             .size,
                     ).isEqualTo(report.records.size)
-                    expectThat(run.observed.zipWithNext().filter { it.first > it.second }).isEmpty()
-                    expectThat(run.results.filter { (id, result) -> !isTrue(result, generations[id]) }).isEmpty()
-                    expectThat(refusedForGood.filter { it in generations }).isEmpty()
+                    expectThat(run.observedGenerations.zipWithNext().filter { it.first > it.second }).isEmpty()
+                    expectThat(run.results.filter { (id, result) -> !isCorrect(result, generations[id]) }).isEmpty()
+                    expectThat(neverPublished.filter { it in generations }).isEmpty()
                 }
             }
         }
 
-        private fun isTrue(
+        private fun isCorrect(
             result: Either<PublishError, Accepted>,
             generation: Generation?,
         ): Boolean =
@@ -118,8 +118,8 @@
                     generation
             })
 
-        /** Ids of which every attempt was told as not published. */
-        private fun refusedForGood(run: Run): List<NoteId> =
+        /** Ids for which every attempt was reported as not published. */
+        private fun neverPublished(run: Run): List<NoteId> =
             run.results
                 .groupBy({ it.first }, { it.second })
                 .filterValues { all -> all.none { it.isRight() || it.leftOrNull() is PublishError.Unsettled } }
@@ -128,9 +128,9 @@
     }
 
     @Nested
-    inner class `two operators who race on one generation` {
+    inner class `two operators that publish on the same generation` {
         @Test
-        fun `have one winner`() {
+        fun `get one acceptance`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = 4_072, iterations = 200), Arb.long(), faults) { seed, faults ->
                     val inner = InMemoryObjectStore()
