--- a/store/src/main/kotlin/dev/almondhaven/store/ConfigurationStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/ConfigurationStore.kt
@@ -117,7 +117,7 @@
             return writeHead(current, head)
         }
 
-        /** Returns the result if the entry is already accepted, or null if the history up to [head] doesn't contain it. */
+        /** Returns the result if the entry is already accepted, or null if it isn't in the history up to [head]. */
         private fun findAccepted(head: ConfigurationHead): Either<PlatformError, Either<PublishError, Accepted>?> {
             head.latest?.takeIf { it.entry.id == entry.id }?.let { latest ->
                 storeEntry(latest)
--- a/store/src/main/kotlin/dev/almondhaven/store/GuardedObjectStore.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/GuardedObjectStore.kt
@@ -26,8 +26,8 @@
 /**
  * Rate limits, circuit breaker and retry settings for the platform calls of one process.
  *
- * @property deadline time after which no further attempt of an operation starts; also the longest wait of one attempt for
- *   the rate limiter.
+ * @property deadline time after which no further attempt of an operation starts; also the longest wait of one attempt
+ *   for the rate limiter.
  * @property maxAttempts maximum number of attempts per operation, the first one included.
  */
 public class CallGuards(
--- a/store/src/main/kotlin/dev/almondhaven/store/PublishError.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/PublishError.kt
@@ -36,8 +36,8 @@
     ) : PublishError
 
     /**
-     * A write got no response and no later attempt could determine its outcome: the entry may be accepted, now or later.
-     * Publishing is idempotent by id: publishing the same entry again resolves the outcome and never publishes it twice.
+     * A write got no response and no later attempt could determine its outcome: the entry may be accepted, now or
+     * later. Publishing the same id again resolves the outcome and never publishes twice.
      */
     public data class Unsettled(
         public val id: NoteId,
