--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentBench.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentBench.kt
@@ -172,10 +172,10 @@
 
     /** Lets every engine answer requests for [version] with errors. */
     public fun spoilVersion(version: ModelVersionId): Unit =
-        fleet.engines.values.forEach { it.badVersions = setOf(version) }
+        fleet.engines.values.forEach { it.failingVersions = setOf(version) }
 
     /** Ends what [spoilVersion] began. */
-    public fun healVersions(): Unit = fleet.engines.values.forEach { it.badVersions = emptySet() }
+    public fun healVersions(): Unit = fleet.engines.values.forEach { it.failingVersions = emptySet() }
 
     private fun engine(index: Int): EngineStandIn = fleet.engines.values.toList()[index]
 
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Observations.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/Observations.kt
@@ -4,7 +4,7 @@
 import dev.almondhaven.model.EndpointId
 import dev.almondhaven.model.FailureDomainId
 import dev.almondhaven.model.ModelVersionId
-import dev.almondhaven.standins.EngineRecord
+import dev.almondhaven.standins.RecordedRequest
 
 /** A span of epoch milliseconds in which a failure domain was out of service. */
 public data class DomainOutage(
@@ -22,7 +22,7 @@
 /** A run that an endpoint's own record shows. */
 public data class ObservedRun(
     public val endpoint: EndpointId,
-    public val record: EngineRecord,
+    public val record: RecordedRequest,
 )
 
 /** A bill as the platform holds it. */
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/StandInFleet.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/StandInFleet.kt
@@ -57,7 +57,7 @@
     public companion object {
         /** How the engines behave when nothing is wrong. */
         public val BEHAVIOUR: EngineBehaviour =
-            EngineBehaviour(timeToFirstToken = 20.milliseconds, betweenTokens = 4.milliseconds)
+            EngineBehaviour(timeToFirstToken = 20.milliseconds, interTokenDelay = 4.milliseconds)
 
         /** Starts a stand-in for every endpoint that [note] adds. */
         public fun start(note: ReleaseNote): StandInFleet =
--- a/router/src/test/kotlin/dev/almondhaven/router/EndpointFailoverTest.kt
+++ b/router/src/test/kotlin/dev/almondhaven/router/EndpointFailoverTest.kt
@@ -50,7 +50,7 @@
         resumes: Boolean = true,
     ) {
         engines.dropLast(1).forEach { it.behaviour = EngineBehaviour(fault = fault) }
-        engines.last().behaviour = EngineBehaviour(resumes = resumes)
+        engines.last().behaviour = EngineBehaviour(supportsResume = resumes)
     }
 
     private fun streamedEventLabels(): List<String> =
@@ -143,14 +143,14 @@
     inner class `a caller that disconnects` {
         @Test
         fun `cancels its request on the engine`() {
-            engines.forEach { it.behaviour = EngineBehaviour(betweenTokens = 20.milliseconds) }
+            engines.forEach { it.behaviour = EngineBehaviour(interTokenDelay = 20.milliseconds) }
             val before = engines.sumOf { it.cancellations }
             val response = deployment.sendStreaming("""{"stream":true,"messages":[],"max_tokens":100000}""")
             response.split().headers().join()
             response.abort()
 
             expectThat(eventually { engines.sumOf { it.cancellations } == before + 1 }).isTrue()
-            expectThat(eventually { engines.all { it.runningNow == 0 } }).isTrue()
+            expectThat(eventually { engines.all { it.runningRequests == 0 } }).isTrue()
         }
     }
 
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineBehaviour.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineBehaviour.kt
@@ -27,14 +27,14 @@
  * How an engine stand-in behaves.
  *
  * @property timeToFirstToken delay before the first token.
- * @property betweenTokens delay between tokens.
+ * @property interTokenDelay delay between tokens.
  * @property tokens tokens generated when the request sets no `max_tokens`.
- * @property resumes whether the engine honours `x-resume-after`; it then answers with `x-resumed-after`.
+ * @property supportsResume whether the engine honours `x-resume-after`; it then answers with `x-resumed-after`.
  */
 public data class EngineBehaviour(
     public val timeToFirstToken: Duration = 0.milliseconds,
-    public val betweenTokens: Duration = 0.milliseconds,
+    public val interTokenDelay: Duration = 0.milliseconds,
     public val tokens: Int = 8,
     public val fault: EngineFault = EngineFault.NONE,
-    public val resumes: Boolean = true,
+    public val supportsResume: Boolean = true,
 )
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineStandIn.kt
@@ -40,7 +40,7 @@
 ) {
     /** Versions whose requests this engine answers with errors. */
     @Volatile
-    public var badVersions: Set<ModelVersionId> = emptySet()
+    public var failingVersions: Set<ModelVersionId> = emptySet()
 
     private val startId = AtomicLong(System.nanoTime())
 
@@ -48,16 +48,16 @@
     private var startedAt = System.nanoTime()
     private val running = AtomicInteger()
     private val cancelled = AtomicInteger()
-    private val recorded = ConcurrentLinkedQueue<EngineRecord>()
+    private val recorded = ConcurrentLinkedQueue<RecordedRequest>()
 
     /** Requests seen so far. */
-    public val records: List<EngineRecord> get() = recorded.toList()
+    public val records: List<RecordedRequest> get() = recorded.toList()
 
     /** Streamed answers that the caller cancelled. */
     public val cancellations: Int get() = cancelled.get()
 
     /** Requests that run now. */
-    public val runningNow: Int get() = running.get()
+    public val runningRequests: Int get() = running.get()
 
     /** Behaves as after a restart: a new start id and an empty cache. */
     public fun restart() {
@@ -89,7 +89,7 @@
         HttpResponse.of(
             HttpStatus.OK,
             MediaType.JSON,
-            Json.encodeToString(ListSerializer(EngineRecord.serializer()), records),
+            Json.encodeToString(ListSerializer(RecordedRequest.serializer()), records),
         )
 
     private fun complete(
@@ -101,14 +101,14 @@
                 val body = Json.parseToJsonElement(aggregated.contentUtf8()) as JsonObject
                 val headers = aggregated.headers()
                 val record =
-                    EngineRecord(
+                    RecordedRequest(
                         headers.get("x-request-id").orEmpty(),
                         headers.get("x-organisation").orEmpty(),
                         body["model"]?.jsonPrimitive?.contentOrNull.orEmpty(),
                         System.currentTimeMillis(),
                         finished = true,
                     )
-                val resumeAfter = if (behaviour.resumes) headers.getInt("x-resume-after", 0) else 0
+                val resumeAfter = if (behaviour.supportsResume) headers.getInt("x-resume-after", 0) else 0
                 answer(context, body, record, resumeAfter)
             },
         )
@@ -116,7 +116,7 @@
     private fun answer(
         context: ServiceRequestContext,
         body: JsonObject,
-        record: EngineRecord,
+        record: RecordedRequest,
         resumeAfter: Int,
     ): HttpResponse {
         val now = if (isBad(record.model)) behaviour.copy(fault = EngineFault.ERROR) else behaviour
@@ -145,7 +145,7 @@
     private fun whole(
         context: ServiceRequestContext,
         now: EngineBehaviour,
-        record: EngineRecord,
+        record: RecordedRequest,
         echo: Echo,
         tokens: Int,
     ): HttpResponse {
@@ -153,7 +153,7 @@
         val text = wholeBody(echo, tokens)
         val sent = if (now.fault == EngineFault.HALF_ANSWER) text.take(text.length / 2) else text
         val response = HttpResponse.of(HttpStatus.OK, MediaType.JSON, sent)
-        val delay = now.timeToFirstToken + now.betweenTokens * tokens
+        val delay = now.timeToFirstToken + now.interTokenDelay * tokens
         if (delay.inWholeMilliseconds == 0L) return response
         running.incrementAndGet()
         response.whenComplete().handle { _, _ -> running.decrementAndGet() }
@@ -163,7 +163,7 @@
     private fun stream(
         context: ServiceRequestContext,
         now: EngineBehaviour,
-        record: EngineRecord,
+        record: RecordedRequest,
         echo: Echo,
         tokens: Int,
         resumeAfter: Int,
@@ -202,10 +202,10 @@
                 sent++
                 val data = if (now.fault == EngineFault.GARBAGE) "{garbage" else chunk(echo, "token$sent ", null)
                 if (!response.tryWrite(HttpData.ofUtf8("id: $sent\ndata: $data\n\n"))) return
-                if (now.betweenTokens.inWholeMilliseconds > 0) {
+                if (now.interTokenDelay.inWholeMilliseconds > 0) {
                     context.eventLoop().schedule(
                         { next() },
-                        now.betweenTokens.inWholeMilliseconds,
+                        now.interTokenDelay.inWholeMilliseconds,
                         TimeUnit.MILLISECONDS,
                     )
                     return
@@ -252,7 +252,7 @@
         echo.user?.let { put("user", JsonPrimitive(it)) }
     }
 
-    private fun isBad(model: String): Boolean = badVersions.any { it.toString() == model }
+    private fun isBad(model: String): Boolean = failingVersions.any { it.toString() == model }
 
     /** What an answer repeats of its request, so that callers can tell their own answer from another's. */
     private class Echo(
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineRecord.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/RecordedRequest.kt
@@ -8,7 +8,7 @@
  * @property finished whether the whole answer was sent.
  */
 @Serializable
-public data class EngineRecord(
+public data class RecordedRequest(
     public val requestId: String,
     public val organisation: String,
     public val model: String,
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/ServiceStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/ServiceStandIn.kt
@@ -19,14 +19,14 @@
  */
 public class ServiceStandIn {
     private val startedAt = System.currentTimeMillis()
-    private val recorded = ConcurrentLinkedQueue<EngineRecord>()
+    private val recorded = ConcurrentLinkedQueue<RecordedRequest>()
 
     /** How long an answer takes after the call has run. */
     @Volatile
     public var answerDelay: Duration = Duration.ZERO
 
     /** Calls that ran so far. */
-    public val records: List<EngineRecord> get() = recorded.toList()
+    public val records: List<RecordedRequest> get() = recorded.toList()
 
     /** Adds the service's paths to [builder]. */
     public fun addTo(builder: ServerBuilder) {
@@ -52,7 +52,7 @@
                 val key = aggregated.headers().get("idempotency-key").orEmpty()
                 val organisation = aggregated.headers().get("x-organisation").orEmpty()
                 val call = "${aggregated.method()} ${aggregated.path()}"
-                recorded += EngineRecord(key, organisation, call, System.currentTimeMillis(), finished = true)
+                recorded += RecordedRequest(key, organisation, call, System.currentTimeMillis(), finished = true)
                 val body =
                     buildJsonObject {
                         put("call", JsonPrimitive(call))
@@ -68,7 +68,7 @@
         HttpResponse.of(
             HttpStatus.OK,
             MediaType.JSON,
-            Json.encodeToString(ListSerializer(EngineRecord.serializer()), records),
+            Json.encodeToString(ListSerializer(RecordedRequest.serializer()), records),
         )
 
     private companion object {
