--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineBehaviour.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineBehaviour.kt
@@ -3,33 +3,34 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A fault that an engine stand-in shows on every request until it is changed. */
+/** Fault that an engine stand-in injects into every request, until its behaviour is changed. */
 public enum class EngineFault {
     NONE,
 
-    /** Answers with status 500. */
+    /** Responds with status 500. */
     ERROR,
 
-    /** Closes the answer in the middle. */
+    /** Ends the response after half of its body. */
     HALF_ANSWER,
 
-    /** Sends lines that aren't JSON. */
+    /** Streams events whose data isn't JSON. Has no effect on a non-streaming response. */
     GARBAGE,
 
-    /** Accepts the request and never answers. */
+    /** Accepts the request and never responds. */
     SILENT,
 
-    /** Falls silent in the middle of the answer. */
+    /** Stops sending after half of the stream and leaves it open. Has no effect on a non-streaming response. */
     SILENT_MIDWAY,
 }
 
 /**
- * How an engine stand-in behaves.
+ * Timing, length and faults of an engine stand-in's responses.
  *
  * @property timeToFirstToken delay before the first token.
  * @property interTokenDelay delay between tokens.
- * @property tokens tokens generated when the request sets no `max_tokens`.
- * @property supportsResume whether the engine honours `x-resume-after`; it then answers with `x-resumed-after`.
+ * @property tokens number of tokens generated when the request sets no `max_tokens`.
+ * @property supportsResume whether the engine honours `x-resume-after`: it then continues the stream after that event
+ * and confirms this in the response header `x-resumed-after`.
  */
 public data class EngineBehaviour(
     public val timeToFirstToken: Duration = 0.milliseconds,
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineLoadStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineLoadStandIn.kt
@@ -14,53 +14,54 @@
 import kotlin.time.Duration
 
 /**
- * The versions that an engine stand-in has loaded, and the orders that change them, at `/engine/desired-state`.
+ * Stand-in for an engine's model loading: `PUT /engine/desired-state` replaces the set of versions to hold, and a
+ * request with any other method returns the engine's report.
  *
- * @property honoursFencing whether an order with a lower fencing number than an earlier one is refused.
+ * @property honoursFencing whether an order with a lower fencing token than an earlier one is refused.
  * @property loadTime how long a version takes to load.
  */
 public class EngineLoadStandIn(
     private val honoursFencing: Boolean = true,
     private val loadTime: Duration = Duration.ZERO,
 ) {
-    private val taken = mutableListOf<EngineOrder>()
-    private val loadedAt = LinkedHashMap<ModelVersionId, Long>()
-    private var highestFencing = 0L
+    private val acceptedOrders = mutableListOf<EngineOrder>()
+    private val readyAtNanos = LinkedHashMap<ModelVersionId, Long>()
+    private var highestFencingToken = 0L
 
-    /** Orders that were taken, in order of arrival. */
-    public val orders: List<EngineOrder> @Synchronized get() = taken.toList()
+    /** Orders that were accepted, in order of arrival. */
+    public val orders: List<EngineOrder> @Synchronized get() = acceptedOrders.toList()
 
-    /** Adds the path to [builder]. */
+    /** Adds the engine's loading path to [builder]. */
     public fun addTo(builder: ServerBuilder) {
-        builder.service("/engine/desired-state", HttpService { _, request -> serve(request) })
+        builder.service("/engine/desired-state", HttpService { _, request -> handle(request) })
     }
 
-    private fun serve(request: HttpRequest): HttpResponse =
+    private fun handle(request: HttpRequest): HttpResponse =
         HttpResponse.of(
             request.aggregate().thenApply { aggregated ->
-                if (aggregated.method() == HttpMethod.PUT) order(aggregated.contentUtf8()) else reportAnswer()
+                if (aggregated.method() == HttpMethod.PUT) applyOrder(aggregated.contentUtf8()) else reportResponse()
             },
         )
 
-    private fun reportAnswer(): HttpResponse =
+    private fun reportResponse(): HttpResponse =
         HttpResponse.of(HttpStatus.OK, MediaType.JSON, Json.encodeToString(EngineReport.serializer(), report()))
 
-    /** What the engine has been told to load and has loaded. */
+    /** Versions that the engine was ordered to hold, and those of them that have finished loading. */
     @Synchronized
     public fun report(): EngineReport {
-        val now = System.nanoTime()
-        return EngineReport(loadedAt.keys.toList(), loadedAt.filterValues { it <= now }.keys.toList())
+        val nowNanos = System.nanoTime()
+        return EngineReport(readyAtNanos.keys.toList(), readyAtNanos.filterValues { it <= nowNanos }.keys.toList())
     }
 
     @Synchronized
-    private fun order(body: String): HttpResponse {
+    private fun applyOrder(body: String): HttpResponse {
         val order = Json.decodeFromString(EngineOrder.serializer(), body)
-        if (honoursFencing && order.fencing < highestFencing) return HttpResponse.of(HttpStatus.CONFLICT)
-        highestFencing = maxOf(highestFencing, order.fencing)
-        taken += order
-        loadedAt.keys.retainAll(order.versions.toSet())
-        val readyAt = System.nanoTime() + loadTime.inWholeNanoseconds
-        order.versions.forEach { loadedAt.putIfAbsent(it, readyAt) }
-        return reportAnswer()
+        if (honoursFencing && order.fencing < highestFencingToken) return HttpResponse.of(HttpStatus.CONFLICT)
+        highestFencingToken = maxOf(highestFencingToken, order.fencing)
+        acceptedOrders += order
+        readyAtNanos.keys.retainAll(order.versions.toSet())
+        val newReadyAtNanos = System.nanoTime() + loadTime.inWholeNanoseconds
+        order.versions.forEach { readyAtNanos.putIfAbsent(it, newReadyAtNanos) }
+        return reportResponse()
     }
 }
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/EngineStandIn.kt
@@ -31,46 +31,49 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /**
- * A small stand-in for a model engine: the OpenAI-compatible paths, plain and streamed, `GET /engine/status` and
- * `GET /records`. Every streamed event carries its sequence number in the `id` field.
+ * Stand-in for a model engine. It serves the OpenAI-compatible completion paths, streaming and non-streaming,
+ * `GET /engine/status` and `GET /records`. Every streamed event except `[DONE]` carries its sequence number as `id`.
  */
 public class EngineStandIn(
     @Volatile public var behaviour: EngineBehaviour = EngineBehaviour(),
     private val slots: Int = DEFAULT_SLOTS,
 ) {
-    /** Versions whose requests this engine answers with errors. */
+    /** Versions for which every request fails with status 500. */
     @Volatile
     public var failingVersions: Set<ModelVersionId> = emptySet()
 
     private val startId = AtomicLong(System.nanoTime())
 
     @Volatile
-    private var startedAt = System.nanoTime()
-    private val running = AtomicInteger()
-    private val cancelled = AtomicInteger()
-    private val recorded = ConcurrentLinkedQueue<RecordedRequest>()
+    private var startedAtNanos = System.nanoTime()
+    private val runningCount = AtomicInteger()
+    private val cancelledStreams = AtomicInteger()
+    private val recordedRequests = ConcurrentLinkedQueue<RecordedRequest>()
 
-    /** Requests seen so far. */
-    public val records: List<RecordedRequest> get() = recorded.toList()
+    /** Completion requests so far, except those that met [EngineFault.ERROR] or [EngineFault.SILENT]. */
+    public val records: List<RecordedRequest> get() = recordedRequests.toList()
 
-    /** Streamed answers that the caller cancelled. */
-    public val cancellations: Int get() = cancelled.get()
+    /** Number of streamed responses that the caller cancelled. */
+    public val cancellations: Int get() = cancelledStreams.get()
 
-    /** Requests that run now. */
-    public val runningRequests: Int get() = running.get()
+    /** Number of requests in progress; non-streaming requests count only if they take any time. */
+    public val runningRequests: Int get() = runningCount.get()
 
-    /** Behaves as after a restart: a new start id and an empty cache. */
+    /**
+     * Simulates a restart: the engine reports a new start id, which means that its cache is empty, and its uptime starts
+     * from zero.
+     */
     public fun restart() {
-        startedAt = System.nanoTime()
+        startedAtNanos = System.nanoTime()
         startId.incrementAndGet()
     }
 
     /** Adds the engine's paths to [builder]. */
     public fun addTo(builder: ServerBuilder) {
-        builder.service("/v1/chat/completions", HttpService { context, request -> complete(context, request) })
-        builder.service("/v1/completions", HttpService { context, request -> complete(context, request) })
+        builder.service("/v1/chat/completions", HttpService { context, request -> handleCompletion(context, request) })
+        builder.service("/v1/completions", HttpService { context, request -> handleCompletion(context, request) })
         builder.service("/engine/status", HttpService { _, _ -> status() })
-        builder.service("/records", HttpService { _, _ -> recordsAnswer() })
+        builder.service("/records", HttpService { _, _ -> recordsResponse() })
         builder.requestTimeoutMillis(0)
     }
 
@@ -78,21 +81,21 @@
         val body =
             buildJsonObject {
                 put("startId", JsonPrimitive(startId.get()))
-                put("uptimeMillis", JsonPrimitive((System.nanoTime() - startedAt) / NANOS_PER_MILLI))
-                put("running", JsonPrimitive(running.get()))
+                put("uptimeMillis", JsonPrimitive((System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI))
+                put("running", JsonPrimitive(runningCount.get()))
                 put("slots", JsonPrimitive(slots))
             }
         return HttpResponse.of(HttpStatus.OK, MediaType.JSON, body.toString())
     }
 
-    private fun recordsAnswer(): HttpResponse =
+    private fun recordsResponse(): HttpResponse =
         HttpResponse.of(
             HttpStatus.OK,
             MediaType.JSON,
             Json.encodeToString(ListSerializer(RecordedRequest.serializer()), records),
         )
 
-    private fun complete(
+    private fun handleCompletion(
         context: ServiceRequestContext,
         request: HttpRequest,
     ): HttpResponse =
@@ -109,21 +112,21 @@
                         finished = true,
                     )
                 val resumeAfter = if (behaviour.supportsResume) headers.getInt("x-resume-after", 0) else 0
-                answer(context, body, record, resumeAfter)
+                respond(context, body, record, resumeAfter)
             },
         )
 
-    private fun answer(
+    private fun respond(
         context: ServiceRequestContext,
         body: JsonObject,
         record: RecordedRequest,
         resumeAfter: Int,
     ): HttpResponse {
-        val now = if (isBad(record.model)) behaviour.copy(fault = EngineFault.ERROR) else behaviour
-        val echo = Echo(record.model, body["user"]?.jsonPrimitive?.contentOrNull)
-        val tokens = body["max_tokens"]?.jsonPrimitive?.intOrNull ?: now.tokens
+        val activeBehaviour = if (isFailing(record.model)) behaviour.copy(fault = EngineFault.ERROR) else behaviour
+        val echoed = EchoedFields(record.model, body["user"]?.jsonPrimitive?.contentOrNull)
+        val tokens = body["max_tokens"]?.jsonPrimitive?.intOrNull ?: activeBehaviour.tokens
         val streamed = body["stream"]?.jsonPrimitive?.booleanOrNull == true
-        return when (now.fault) {
+        return when (activeBehaviour.fault) {
             EngineFault.ERROR -> {
                 HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR)
             }
@@ -134,78 +137,79 @@
 
             else -> {
                 if (streamed) {
-                    stream(context, now, record, echo, tokens, resumeAfter)
+                    stream(context, activeBehaviour, record, echoed, tokens, resumeAfter)
                 } else {
-                    whole(context, now, record, echo, tokens)
+                    respondUnary(context, activeBehaviour, record, echoed, tokens)
                 }
             }
         }
     }
 
-    private fun whole(
+    private fun respondUnary(
         context: ServiceRequestContext,
-        now: EngineBehaviour,
+        activeBehaviour: EngineBehaviour,
         record: RecordedRequest,
-        echo: Echo,
+        echoed: EchoedFields,
         tokens: Int,
     ): HttpResponse {
-        recorded += record
-        val text = wholeBody(echo, tokens)
-        val sent = if (now.fault == EngineFault.HALF_ANSWER) text.take(text.length / 2) else text
+        recordedRequests += record
+        val body = completionBody(echoed, tokens)
+        val sent = if (activeBehaviour.fault == EngineFault.HALF_ANSWER) body.take(body.length / 2) else body
         val response = HttpResponse.of(HttpStatus.OK, MediaType.JSON, sent)
-        val delay = now.timeToFirstToken + now.interTokenDelay * tokens
+        val delay = activeBehaviour.timeToFirstToken + activeBehaviour.interTokenDelay * tokens
         if (delay.inWholeMilliseconds == 0L) return response
-        running.incrementAndGet()
-        response.whenComplete().handle { _, _ -> running.decrementAndGet() }
+        runningCount.incrementAndGet()
+        response.whenComplete().handle { _, _ -> runningCount.decrementAndGet() }
         return HttpResponse.delayed(response, Duration.ofMillis(delay.inWholeMilliseconds), context.eventLoop())
     }
 
     private fun stream(
         context: ServiceRequestContext,
-        now: EngineBehaviour,
+        activeBehaviour: EngineBehaviour,
         record: RecordedRequest,
-        echo: Echo,
+        echoed: EchoedFields,
         tokens: Int,
         resumeAfter: Int,
     ): HttpResponse {
-        recorded += record
-        running.incrementAndGet()
+        recordedRequests += record
+        runningCount.incrementAndGet()
         val response = HttpResponse.streaming()
         response.whenComplete().handle { _, cause ->
-            running.decrementAndGet()
-            if (cause != null) cancelled.incrementAndGet()
+            runningCount.decrementAndGet()
+            if (cause != null) cancelledStreams.incrementAndGet()
         }
         val headers = ResponseHeaders.builder(HttpStatus.OK).set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
         if (resumeAfter > 0) headers.setInt("x-resumed-after", resumeAfter)
         response.write(headers.build())
-        val lastToken = if (now.fault in HALFWAY_FAULTS) tokens / 2 else tokens
-        val generation = Generating(context, response, now, echo, tokens, lastToken, resumeAfter)
+        val lastToken = if (activeBehaviour.fault in HALF_STREAM_FAULTS) tokens / 2 else tokens
+        val tokenStream = TokenStream(context, response, activeBehaviour, echoed, tokens, lastToken, resumeAfter)
         context.eventLoop().schedule(
-            { generation.next() },
-            now.timeToFirstToken.inWholeMilliseconds,
+            { tokenStream.sendTokens() },
+            activeBehaviour.timeToFirstToken.inWholeMilliseconds,
             TimeUnit.MILLISECONDS,
         )
         return response
     }
 
-    private inner class Generating(
+    private inner class TokenStream(
         private val context: ServiceRequestContext,
         private val response: HttpResponseWriter,
-        private val now: EngineBehaviour,
-        private val echo: Echo,
+        private val activeBehaviour: EngineBehaviour,
+        private val echoed: EchoedFields,
         private val tokens: Int,
         private val lastToken: Int,
         private var sent: Int,
     ) {
-        fun next() {
+        fun sendTokens() {
             while (sent < lastToken) {
                 sent++
-                val data = if (now.fault == EngineFault.GARBAGE) "{garbage" else chunk(echo, "token$sent ", null)
+                val isGarbage = activeBehaviour.fault == EngineFault.GARBAGE
+                val data = if (isGarbage) "{garbage" else chunk(echoed, "token$sent ", null)
                 if (!response.tryWrite(HttpData.ofUtf8("id: $sent\ndata: $data\n\n"))) return
-                if (now.interTokenDelay.inWholeMilliseconds > 0) {
+                if (activeBehaviour.interTokenDelay.inWholeMilliseconds > 0) {
                     context.eventLoop().schedule(
-                        { next() },
-                        now.interTokenDelay.inWholeMilliseconds,
+                        { sendTokens() },
+                        activeBehaviour.interTokenDelay.inWholeMilliseconds,
                         TimeUnit.MILLISECONDS,
                     )
                     return
@@ -215,9 +219,9 @@
         }
 
         private fun finish() {
-            if (now.fault == EngineFault.SILENT_MIDWAY) return
+            if (activeBehaviour.fault == EngineFault.SILENT_MIDWAY) return
             if (lastToken == tokens) {
-                response.tryWrite(HttpData.ofUtf8("id: ${sent + 1}\ndata: ${chunk(echo, "", usage(tokens))}\n\n"))
+                response.tryWrite(HttpData.ofUtf8("id: ${sent + 1}\ndata: ${chunk(echoed, "", usage(tokens))}\n\n"))
                 response.tryWrite(HttpData.ofUtf8("data: [DONE]\n\n"))
             }
             response.close()
@@ -225,37 +229,37 @@
     }
 
     private fun chunk(
-        echo: Echo,
+        echoed: EchoedFields,
         text: String,
         usage: JsonObject?,
     ): String =
         buildJsonObject {
             put("object", JsonPrimitive("chat.completion.chunk"))
-            putAll(echo)
+            putAll(echoed)
             put("choices", choices(if (usage == null) "delta" else "message", text))
             usage?.let { put("usage", it) }
         }.toString()
 
-    private fun wholeBody(
-        echo: Echo,
+    private fun completionBody(
+        echoed: EchoedFields,
         tokens: Int,
     ): String =
         buildJsonObject {
             put("object", JsonPrimitive("chat.completion"))
-            putAll(echo)
+            putAll(echoed)
             put("choices", choices("message", (1..tokens).joinToString("") { "token$it " }))
             put("usage", usage(tokens))
         }.toString()
 
-    private fun JsonObjectBuilder.putAll(echo: Echo) {
-        put("model", JsonPrimitive(echo.model))
-        echo.user?.let { put("user", JsonPrimitive(it)) }
+    private fun JsonObjectBuilder.putAll(echoed: EchoedFields) {
+        put("model", JsonPrimitive(echoed.model))
+        echoed.user?.let { put("user", JsonPrimitive(it)) }
     }
 
-    private fun isBad(model: String): Boolean = failingVersions.any { it.toString() == model }
+    private fun isFailing(model: String): Boolean = failingVersions.any { it.toString() == model }
 
-    /** What an answer repeats of its request, so that callers can tell their own answer from another's. */
-    private class Echo(
+    /** Request fields that a response repeats, so that a caller detects a response meant for another caller. */
+    private class EchoedFields(
         val model: String,
         val user: String?,
     )
@@ -283,6 +287,6 @@
         const val DEFAULT_SLOTS = 16
         const val PROMPT_TOKENS = 16
         const val NANOS_PER_MILLI = 1_000_000L
-        val HALFWAY_FAULTS = setOf(EngineFault.HALF_ANSWER, EngineFault.SILENT_MIDWAY)
+        val HALF_STREAM_FAULTS = setOf(EngineFault.HALF_ANSWER, EngineFault.SILENT_MIDWAY)
     }
 }
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/ObjectStoreServer.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/ObjectStoreServer.kt
@@ -22,7 +22,7 @@
 import kotlinx.serialization.json.Json
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Serves an [ObjectStore] over the platform's HTTP protocol. */
+/** Serves an [ObjectStore] over the HTTP protocol of the platform's object API. */
 public class ObjectStoreServer(
     private val objects: ObjectStore,
 ) {
@@ -30,9 +30,9 @@
     public fun addTo(builder: ServerBuilder) {
         builder.service("/objects", blocking(::list))
         builder.service("/watch", blocking(::watch))
-        builder.service("prefix:/objects/", blocking(::objectCall))
+        builder.service("prefix:/objects/", blocking(::handleObject))
         builder.requestTimeoutMillis(0)
-        builder.maxRequestLength(REQUEST_LIMIT_BYTES)
+        builder.maxRequestLength(MAX_REQUEST_BYTES)
     }
 
     private fun blocking(handle: (ServiceRequestContext, HttpMethod, String) -> HttpResponse) =
@@ -45,7 +45,7 @@
             )
         }
 
-    private fun objectCall(
+    private fun handleObject(
         context: ServiceRequestContext,
         method: HttpMethod,
         body: String,
@@ -60,7 +60,7 @@
     }
 
     private fun get(key: ObjectKey): HttpResponse =
-        objects.get(key).fold(::failure) { stored ->
+        objects.get(key).fold(::errorResponse) { stored ->
             if (stored == null) {
                 HttpResponse.of(HttpStatus.NOT_FOUND)
             } else {
@@ -70,11 +70,7 @@
                         .contentType(MediaType.JSON)
                         .set(HttpHeaderNames.ETAG, entityTag(stored.version))
                         .build()
-                HttpResponse.of(
-                    headers,
-                    HttpData
-                        .ofUtf8(stored.value),
-                )
+                HttpResponse.of(headers, HttpData.ofUtf8(stored.value))
             }
         }
 
@@ -83,8 +79,8 @@
         key: ObjectKey,
         body: String,
     ): HttpResponse {
-        val condition = versionOf(context)?.let { WriteCondition.AtVersion(it) } ?: WriteCondition.Absent
-        return objects.put(key, body, condition).fold(::failure) { version ->
+        val condition = ifMatchVersion(context)?.let { WriteCondition.AtVersion(it) } ?: WriteCondition.Absent
+        return objects.put(key, body, condition).fold(::errorResponse) { version ->
             HttpResponse.of(
                 ResponseHeaders.builder(HttpStatus.OK).set(HttpHeaderNames.ETAG, entityTag(version)).build(),
             )
@@ -95,8 +91,8 @@
         context: ServiceRequestContext,
         key: ObjectKey,
     ): HttpResponse {
-        val version = versionOf(context) ?: return HttpResponse.of(HttpStatus.PRECONDITION_REQUIRED)
-        return objects.delete(key, version).fold(::failure) { HttpResponse.of(HttpStatus.NO_CONTENT) }
+        val version = ifMatchVersion(context) ?: return HttpResponse.of(HttpStatus.PRECONDITION_REQUIRED)
+        return objects.delete(key, version).fold(::errorResponse) { HttpResponse.of(HttpStatus.NO_CONTENT) }
     }
 
     private fun list(
@@ -106,7 +102,7 @@
     ): HttpResponse {
         val limit = context.queryParam("limit")?.toIntOrNull() ?: ObjectStore.DEFAULT_PAGE_SIZE
         val after = context.queryParam("after")?.let { ObjectKey(it) }
-        return objects.list(context.queryParam("prefix").orEmpty(), after, limit).fold(::failure) {
+        return objects.list(context.queryParam("prefix").orEmpty(), after, limit).fold(::errorResponse) {
             HttpResponse.of(HttpStatus.OK, MediaType.JSON, Json.encodeToString(ObjectPage.serializer(), it))
         }
     }
@@ -118,12 +114,12 @@
     ): HttpResponse {
         val after = Revision(context.queryParam("after")?.toLongOrNull() ?: 0)
         val wait = (context.queryParam("wait")?.toLongOrNull() ?: 0).milliseconds
-        return objects.watch(context.queryParam("prefix").orEmpty(), after, wait).fold(::failure) {
+        return objects.watch(context.queryParam("prefix").orEmpty(), after, wait).fold(::errorResponse) {
             HttpResponse.of(HttpStatus.OK, MediaType.JSON, Json.encodeToString(WatchResult.serializer(), it))
         }
     }
 
-    private fun failure(error: PlatformError): HttpResponse =
+    private fun errorResponse(error: PlatformError): HttpResponse =
         when (error) {
             PlatformError.ConditionFailed -> HttpResponse.of(HttpStatus.PRECONDITION_FAILED)
             PlatformError.RevisionGone -> HttpResponse.of(HttpStatus.GONE)
@@ -131,7 +127,7 @@
             is PlatformError.NotSent, is PlatformError.NoAnswer -> HttpResponse.of(HttpStatus.SERVICE_UNAVAILABLE)
         }
 
-    private fun versionOf(context: ServiceRequestContext): ObjectVersion? =
+    private fun ifMatchVersion(context: ServiceRequestContext): ObjectVersion? =
         context
             .request()
             .headers()
@@ -143,6 +139,6 @@
     private fun entityTag(version: ObjectVersion): String = "\"${version.value}\""
 
     private companion object {
-        const val REQUEST_LIMIT_BYTES = 2_000_000L
+        const val MAX_REQUEST_BYTES = 2_000_000L
     }
 }
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/RatingStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/RatingStandIn.kt
@@ -10,15 +10,15 @@
 import kotlinx.serialization.json.Json
 import java.util.concurrent.CopyOnWriteArrayList
 
-/** A small stand-in for the rating service: `GET /ratings?after=CURSOR` lists what was [rate]d since. */
+/** Stand-in for the rating service: `GET /ratings?after=CURSOR` returns the ratings published after that cursor. */
 public class RatingStandIn {
     private val ratings = CopyOnWriteArrayList<Rating>()
 
-    /** Whether the service fails every call. */
+    /** Whether every call fails with status 503. */
     @Volatile
     public var down: Boolean = false
 
-    /** Publishes [rating]; publishing the same twice lists it twice. */
+    /** Publishes [rating]. A rating published twice is listed twice. */
     public fun rate(rating: Rating) {
         ratings += rating
     }
@@ -30,13 +30,13 @@
 
     private fun list(after: String?): HttpResponse {
         if (down) return HttpResponse.of(HttpStatus.SERVICE_UNAVAILABLE)
-        val from = after?.toIntOrNull() ?: 0
-        val page = ratings.drop(from).take(PAGE)
-        val body = RatingPage(page, "${from + page.size}")
+        val start = after?.toIntOrNull() ?: 0
+        val page = ratings.drop(start).take(PAGE_SIZE)
+        val body = RatingPage(page, "${start + page.size}")
         return HttpResponse.of(HttpStatus.OK, MediaType.JSON, Json.encodeToString(RatingPage.serializer(), body))
     }
 
     private companion object {
-        const val PAGE = 1_000
+        const val PAGE_SIZE = 1_000
     }
 }
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/RecordedRequest.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/RecordedRequest.kt
@@ -3,9 +3,12 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A request as an engine or service stand-in saw it; the source of truth for counts at the end of an experiment.
+ * A request that an engine or service stand-in received. Experiments take these records as the
+ * source of truth for their final counts.
  *
- * @property finished whether the whole answer was sent.
+ * @property model model version that the request names; for a service, the HTTP method and path of the call.
+ * @property arrivedAt in milliseconds since the epoch.
+ * @property finished whether the whole response was sent.
  */
 @Serializable
 public data class RecordedRequest(
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/ServiceStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/ServiceStandIn.kt
@@ -15,38 +15,39 @@
 import kotlin.time.toJavaDuration
 
 /**
- * A small stand-in for an order or booking service: answers any call with its own count of it and records every run.
+ * Stand-in for an order or booking service. It records every call that it runs and responds with the number of calls
+ * run so far. It doesn't deduplicate by idempotency key, so the records show a call that ran twice.
  */
 public class ServiceStandIn {
-    private val startedAt = System.currentTimeMillis()
+    private val startedAtMillis = System.currentTimeMillis()
     private val recorded = ConcurrentLinkedQueue<RecordedRequest>()
 
-    /** How long an answer takes after the call has run. */
+    /** Delay between running a call and sending its response. */
     @Volatile
     public var answerDelay: Duration = Duration.ZERO
 
-    /** Calls that ran so far. */
+    /** Calls run so far; a record's request id is the call's idempotency key. */
     public val records: List<RecordedRequest> get() = recorded.toList()
 
     /** Adds the service's paths to [builder]. */
     public fun addTo(builder: ServerBuilder) {
-        builder.service("/records", HttpService { _, _ -> recordsAnswer() })
+        builder.service("/records", HttpService { _, _ -> recordsResponse() })
         builder.service("/engine/status", HttpService { _, _ -> status() })
-        builder.service("prefix:/", HttpService { _, request -> run(request) })
+        builder.service("prefix:/", HttpService { _, request -> runCall(request) })
     }
 
     private fun status(): HttpResponse {
         val body =
             buildJsonObject {
-                put("startId", JsonPrimitive(startedAt))
-                put("uptimeMillis", JsonPrimitive(System.currentTimeMillis() - startedAt))
+                put("startId", JsonPrimitive(startedAtMillis))
+                put("uptimeMillis", JsonPrimitive(System.currentTimeMillis() - startedAtMillis))
                 put("running", JsonPrimitive(0))
                 put("slots", JsonPrimitive(SLOTS))
             }
         return HttpResponse.of(HttpStatus.OK, MediaType.JSON, body.toString())
     }
 
-    private fun run(request: HttpRequest): HttpResponse =
+    private fun runCall(request: HttpRequest): HttpResponse =
         HttpResponse.of(
             request.aggregate().thenApply { aggregated ->
                 val key = aggregated.headers().get("idempotency-key").orEmpty()
@@ -59,12 +60,12 @@
                         put("key", JsonPrimitive(key))
                         put("number", JsonPrimitive(recorded.size))
                     }
-                val answer = HttpResponse.of(HttpStatus.OK, MediaType.JSON, body.toString())
-                if (answerDelay.isPositive()) HttpResponse.delayed(answer, answerDelay.toJavaDuration()) else answer
+                val response = HttpResponse.of(HttpStatus.OK, MediaType.JSON, body.toString())
+                if (answerDelay.isPositive()) HttpResponse.delayed(response, answerDelay.toJavaDuration()) else response
             },
         )
 
-    private fun recordsAnswer(): HttpResponse =
+    private fun recordsResponse(): HttpResponse =
         HttpResponse.of(
             HttpStatus.OK,
             MediaType.JSON,
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/StandInServer.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/StandInServer.kt
@@ -6,7 +6,7 @@
 import java.net.URI
 
 /**
- * An HTTP server on loopback for one stand-in.
+ * HTTP server that serves one stand-in on the loopback interface.
  *
  * ```
  * val engine = EngineStandIn()
@@ -16,19 +16,19 @@
 public class StandInServer private constructor(
     private val server: Server,
 ) : AutoCloseable {
-    /** Port the server listens on. */
+    /** Port that the server listens on. */
     public val port: Int get() = server.activeLocalPort()
 
-    /** `ip:port`, as release notes write endpoint addresses. */
+    /** The address as `ip:port`, the format of endpoint addresses in release notes. */
     public val hostAndPort: String get() = "$LOOPBACK:$port"
 
-    /** Address as a URI. */
+    /** The address as an HTTP URI. */
     public val address: URI get() = URI("http://$hostAndPort")
 
     /** Waits until the server has stopped. */
     public fun join(): Unit = server.blockUntilShutdown()
 
-    /** Stops listening and closes connections in the background. */
+    /** Starts to stop the server, without waiting until it has closed its connections. */
     override fun close() {
         server.stop()
     }
@@ -36,7 +36,7 @@
     public companion object {
         private const val LOOPBACK = "127.0.0.1"
 
-        /** Starts a server on [port], or on any free one, with the services that [configure] adds. */
+        /** Starts a server with the services that [configure] adds, on [port] or, if it is 0, on a free port. */
         public fun start(
             port: Int = 0,
             configure: (ServerBuilder) -> Unit,
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/StandInsMain.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/StandInsMain.kt
@@ -16,25 +16,25 @@
 import dev.almondhaven.store.InMemoryObjectStore
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Starts stand-ins as processes of their own, for the try-out. */
+/** Entry point that runs one stand-in as a separate process, for the local demonstration in `bin/try`. */
 public fun main(arguments: Array<String>): Unit =
     StandInsCommand()
         .subcommands(ObjectStoreCommand(), EngineCommand(), ServiceCommand(), VmListCommand())
         .main(arguments)
 
 private class StandInsCommand : CliktCommand(name = "stand-ins") {
-    override fun help(context: Context): String = "Stand-ins for the outside systems, on loopback."
+    override fun help(context: Context): String = "Runs stand-ins for external systems on the loopback interface."
 
     override fun run(): Unit = Unit
 }
 
 private abstract class ServerCommand(
     name: String,
-    private val about: String,
+    private val helpText: String,
 ) : CliktCommand(name = name) {
     private val port by option(help = "Port to listen on.").int().required()
 
-    override fun help(context: Context): String = about
+    override fun help(context: Context): String = helpText
 
     override fun run() {
         StandInServer.start(port) { configure(it) }.join()
@@ -48,10 +48,10 @@
 }
 
 private class EngineCommand : ServerCommand("engine", "A model engine that generates numbered tokens.") {
-    private val firstToken by option(help = "Milliseconds to the first token.").long().default(DEFAULT_FIRST_TOKEN)
+    private val firstToken by option(help = "Milliseconds until the first token.").long().default(DEFAULT_FIRST_TOKEN)
     private val betweenTokens by option(help = "Milliseconds between tokens.").long().default(DEFAULT_BETWEEN_TOKENS)
 
-    private val ignoreFencing by option(help = "Take orders with old fencing numbers.").flag()
+    private val ignoreFencing by option(help = "Accept orders with outdated fencing tokens.").flag()
     private val loadTime by option(help = "Milliseconds to load a version.").long().default(DEFAULT_LOAD_TIME)
 
     override fun configure(builder: ServerBuilder) {
@@ -66,12 +66,12 @@
     }
 }
 
-private class ServiceCommand : ServerCommand("service", "A plain service that records every call it runs.") {
+private class ServiceCommand : ServerCommand("service", "A plain service that records every call that it runs.") {
     override fun configure(builder: ServerBuilder): Unit = ServiceStandIn().addTo(builder)
 }
 
 private class VmListCommand : ServerCommand("vm-list", "The platform's list of VMs.") {
-    private val live by option(help = "ip:port of a live VM's router; may be given often.").multiple()
+    private val live by option(help = "ip:port of the router on a live VM; repeatable.").multiple()
 
     override fun configure(builder: ServerBuilder): Unit = VmListStandIn(live.map { VmListEntry(it) }).addTo(builder)
 }
--- a/stand-ins/src/main/kotlin/dev/almondhaven/standins/VmListStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/almondhaven/standins/VmListStandIn.kt
@@ -9,22 +9,22 @@
 import kotlinx.serialization.builtins.ListSerializer
 import kotlinx.serialization.json.Json
 
-/** The platform's list of VMs, as a JSON list at `GET /vms`; it says what [entries] says, however old that is. */
+/** Stand-in for the platform's list of VMs: `GET /vms` returns [entries] as a JSON array, up to date or not. */
 public class VmListStandIn(
     @Volatile public var entries: List<VmListEntry> = emptyList(),
 ) {
-    /** Adds the list's path to [builder]. */
+    /** Adds the path of the VM list to [builder]. */
     public fun addTo(builder: ServerBuilder) {
-        builder.service(PATH, HttpService { _, _ -> answer() })
+        builder.service(PATH, HttpService { _, _ -> list() })
     }
 
-    private fun answer(): HttpResponse {
+    private fun list(): HttpResponse {
         val body = Json.encodeToString(ListSerializer(VmListEntry.serializer()), entries)
         return HttpResponse.of(HttpStatus.OK, MediaType.JSON, body)
     }
 
     public companion object {
-        /** Path of the list. */
+        /** Path of the VM list. */
         public const val PATH: String = "/vms"
     }
 }
