--- a/operator/src/main/kotlin/dev/almondhaven/operator/BillCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/BillCommands.kt
@@ -15,7 +15,7 @@
 import kotlinx.serialization.builtins.ListSerializer
 import kotlinx.serialization.json.Json
 
-/** Groups the commands that read billing records. */
+/** Parent of the commands that read billing records. */
 internal class BillCommand : CliktCommand(name = "bill") {
     init {
         subcommands(BillExportCommand(), BillVerifyCommand())
@@ -26,14 +26,15 @@
     override fun run(): Unit = Unit
 }
 
-/** Prints one record for each request. */
+/** Exports one billing record per request as CSV or JSON. */
 internal class BillExportCommand : CliktCommand(name = "export") {
     private val platform by PlatformOptions()
-    private val from by option(help = "First hour in UTC, yyyyMMddHH.").default("")
-    private val to by option(help = "Last hour in UTC, yyyyMMddHH.").default("")
+    private val from by option(help = "First hour to read, in UTC as yyyyMMddHH.").default("")
+    private val to by option(help = "Last hour to read, in UTC as yyyyMMddHH.").default("")
     private val format by option(help = "Format of the output.").choice("csv", "json").default("csv")
 
-    override fun help(context: Context): String = "Prints each billed request once, whatever was stored twice."
+    override fun help(context: Context): String =
+        "Prints each billed request once, even if its record was stored several times."
 
     override fun run() {
         val records = readStatement(platform.objects, from, to).records
@@ -41,23 +42,24 @@
     }
 }
 
-/** Checks the stored records against each other. */
+/** Checks the stored records for requests that are billed inconsistently. */
 internal class BillVerifyCommand : CliktCommand(name = "verify") {
     private val platform by PlatformOptions()
-    private val from by option(help = "First hour in UTC, yyyyMMddHH.").default("")
-    private val to by option(help = "Last hour in UTC, yyyyMMddHH.").default("")
+    private val from by option(help = "First hour to read, in UTC as yyyyMMddHH.").default("")
+    private val to by option(help = "Last hour to read, in UTC as yyyyMMddHH.").default("")
 
-    override fun help(context: Context): String = "Fails if a request has two unlike records; counts harmless repeats."
+    override fun help(context: Context): String =
+        "Fails if a request has differing records; counts identical duplicates, which are harmless."
 
     override fun run() {
         val statement = readStatement(platform.objects, from, to)
         echo(
             "${statement.records.size} requests, ${statement.duplicateBatches} batches stored more than once, " +
-                "${statement.duplicateRequests} records repeated",
+                "${statement.duplicateRequests} duplicate records",
         )
         if (statement.conflictingRequests.isEmpty()) return
-        val listed = statement.conflictingRequests.joinToString("") { "\n  $it" }
-        throw failure(ResultCode.BILLING_CONFLICT, listed, ExitCode.CONFLICT)
+        val conflicts = statement.conflictingRequests.joinToString("") { "\n  $it" }
+        throw failure(ResultCode.BILLING_CONFLICT, conflicts, ExitCode.CONFLICT)
     }
 }
 
@@ -66,22 +68,22 @@
     from: String,
     to: String,
 ): BillingStatement {
-    val stored =
+    val batches =
         BillingStore(objects).readAll(from, to).fold(
             { throw failure(ResultCode.PLATFORM_UNAVAILABLE, "$it", ExitCode.UNAVAILABLE) },
             { it },
         )
-    return BillingStatement.of(stored.asSequence())
+    return BillingStatement.of(batches.asSequence())
 }
 
-/** The records as CSV with a heading, as RFC 4180 has it. */
+/** Formats [records] as CSV according to RFC 4180, with a header line. */
 internal fun csv(records: List<BillingRecord>): String {
-    val heading =
+    val header =
         "request,organisation,ended_at,model,service,prompt_tokens,completion_tokens,cost_micros,result_code\r\n"
-    return heading + records.joinToString("") { "${line(it)}\r\n" }
+    return header + records.joinToString("") { "${csvLine(it)}\r\n" }
 }
 
-private fun line(record: BillingRecord): String =
+private fun csvLine(record: BillingRecord): String =
     listOf(
         record.request,
         record.organisation,
@@ -92,9 +94,9 @@
         record.completionTokens,
         record.costMicros,
         record.resultCode,
-    ).joinToString(",") { quoted("$it") }
+    ).joinToString(",") { quotedIfNeeded("$it") }
 
-private fun quoted(text: String): String =
+private fun quotedIfNeeded(text: String): String =
     if (text.any { it in ",\"\r\n" }) "\"${text.replace("\"", "\"\"")}\"" else text
 
 private fun json(records: List<BillingRecord>): String =
--- a/operator/src/main/kotlin/dev/almondhaven/operator/DomainCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/DomainCommands.kt
@@ -15,24 +15,24 @@
 
 /** Parent of the commands for failure domains. */
 internal class DomainCommand : CliktCommand(name = "domain") {
-    override fun help(context: Context): String = "Takes failure domains out of service and brings them back."
+    override fun help(context: Context): String = "Takes failure domains out of service and returns them."
 
     override fun run(): Unit = Unit
 }
 
-/** A command that changes whether one failure domain is in service. */
+/** Base of the commands that take one failure domain out of service or return it. */
 internal abstract class DomainServiceCommand(
     name: String,
-    private val done: String,
+    private val resultingState: String,
 ) : CliktCommand(name) {
     private val domain by argument(help = "Failure domain.")
-    private val reason by option(help = "Why; goes into the audit trail.").required()
-    private val id by option(help = "Id of this act; give the same one again to settle an act that got no answer.")
+    private val reason by option(help = "Reason, recorded in the audit trail.").required()
+    private val id by option(help = "Id of this change; repeat it to retry a change whose outcome is unknown.")
     private val platform by PlatformOptions()
     private val publisher by PublisherOptions()
     private val routers by RouterOptions()
 
-    /** The entry to publish. */
+    /** Builds the configuration entry to publish. */
     protected abstract fun entry(
         id: NoteId,
         reason: String,
@@ -40,35 +40,37 @@
     ): ConfigurationEntry
 
     override fun run() {
-        val who = publisher.publisher()
-        val actId = NoteId(id ?: "$commandName-$domain-${who.acceptedAt}")
-        val entry = entry(actId, reason, FailureDomainId(domain))
-        var result = platform.store.publish(entry, who)
-        repeat(CONFLICT_RETRIES) { if (overtaken(result)) result = platform.store.publish(entry, who) }
-        val accepted = result.fold({ throw withId(it, actId) }, { it })
-        echo("failure domain $domain is $done as generation ${accepted.generation}")
+        val publishedBy = publisher.publisher()
+        val entryId = NoteId(id ?: "$commandName-$domain-${publishedBy.acceptedAt}")
+        val entry = entry(entryId, reason, FailureDomainId(domain))
+        var result = platform.store.publish(entry, publishedBy)
+        repeat(MAX_CONFLICT_RETRIES) { if (isConflict(result)) result = platform.store.publish(entry, publishedBy) }
+        val accepted = result.fold({ throw failureWithRetryHint(it, entryId) }, { it })
+        echo("failure domain $domain is $resultingState as of generation ${accepted.generation}")
         pushToRouters(routers, platform)
     }
 
-    /** Another entry came first; this one doesn't depend on it. */
-    private fun overtaken(result: Either<PublishError, Accepted>): Boolean =
+    /** Whether another entry was published first. This entry doesn't depend on it, so it can be published again. */
+    private fun isConflict(result: Either<PublishError, Accepted>): Boolean =
         result.leftOrNull() is PublishError.Conflict
 
-    private fun withId(
+    /** Converts [error]; if the outcome is unknown, it also prints the id with which to retry. */
+    private fun failureWithRetryHint(
         error: PublishError,
-        actId: NoteId,
-    ) = error.toFailure().also { if (error is PublishError.Unsettled) echo("add --id $actId to settle it", err = true) }
+        entryId: NoteId,
+    ) = error.toFailure().also { if (error is PublishError.Unsettled) echo("to retry, add --id $entryId", err = true) }
 
     private companion object {
-        const val CONFLICT_RETRIES = 20
+        const val MAX_CONFLICT_RETRIES = 20
     }
 }
 
 /** Takes a failure domain out of service. */
-internal class DomainTakeOutCommand : DomainServiceCommand(name = "take-out", done = "taken out") {
+internal class DomainTakeOutCommand : DomainServiceCommand(name = "take-out", resultingState = "taken out") {
     override fun help(context: Context): String =
         """
-        Takes a failure domain out: its endpoints get no new work and its routers take none. Running work goes on.
+        Takes a failure domain out of service: its endpoints get no new requests and its routers accept none. Requests
+        in progress continue.
 
         Example: almondhaven domain take-out west --reason "switch replacement"
         """.trimIndent()
@@ -80,11 +82,11 @@
     ): ConfigurationEntry = ConfigurationEntry.DomainTakenOut(id, reason, domain)
 }
 
-/** Brings a failure domain back. */
-internal class DomainReturnCommand : DomainServiceCommand(name = "return", done = "back in service") {
+/** Returns a failure domain to service. */
+internal class DomainReturnCommand : DomainServiceCommand(name = "return", resultingState = "back in service") {
     override fun help(context: Context): String =
         """
-        Brings a failure domain back; its load ramps up from the moment of this command.
+        Returns a failure domain to service. Its load ramps up from the time of this command.
 
         Example: almondhaven domain return west --reason "switch replaced"
         """.trimIndent()
--- a/operator/src/main/kotlin/dev/almondhaven/operator/ExplainCommand.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/ExplainCommand.kt
@@ -18,62 +18,62 @@
 import dev.almondhaven.model.SessionId
 import dev.almondhaven.model.TaskClass
 
-/** Says why a request would go where. */
+/** Explains to which model version a request would be routed, and why. */
 internal class ExplainCommand : CliktCommand(name = "explain") {
-    private val organisation by option(help = "Whose request.").required()
-    private val taskClass by option(help = "Kind of work, such as drafting, query or tagging.").default("query")
-    private val model by option(help = "What the caller names: auto, a model, or model@version.").default("auto")
-    private val pinned by option(help = "The version, as model@version, that the request's session runs on.")
-    private val key by option(help = "Session or request id; decides its place in a roll-out.").default("example")
-    private val promptTokens by option(help = "Length of the prompt.").int().default(DEFAULT_PROMPT_TOKENS)
-    private val timeout by option(help = "Time until the deadline, in milliseconds.").long().default(DEFAULT_TIMEOUT)
+    private val organisation by option(help = "Organisation that sends the request.").required()
+    private val taskClass by option(help = "Task class, such as drafting, query or tagging.").default("query")
+    private val model by option(help = "Model that the request names: auto, a model, or model@version.").default("auto")
+    private val pinned by option(help = "Version, as model@version, to which the request's session is pinned.")
+    private val key by option(help = "Session or request id, by which a roll-out selects requests.").default("example")
+    private val promptTokens by option(help = "Prompt length in tokens.").int().default(DEFAULT_PROMPT_TOKENS)
+    private val timeout by option(help = "Milliseconds until the deadline.").long().default(DEFAULT_TIMEOUT_MILLIS)
     private val platform by PlatformOptions()
 
     override fun help(context: Context): String =
         """
-        Says which versions a request may run on, why the others are out, and which plan is chosen.
+        Shows which model versions a request may use, why the others are excluded, and which plan is chosen.
 
-        The routers' own decision code runs here on the configuration in force. Ratings, quarantines and load are known
-        to the routers only: the expected quality shown is the release notes' own.
+        Runs the routers' decision code on the configuration in force. Ratings, quarantines and load are known only to
+        the routers, so the expected quality shown is the one in the release notes.
 
         Example: almondhaven explain --organisation roofers --task-class drafting --prompt-tokens 20000
         """.trimIndent()
 
     override fun run() {
         val index = CatalogueIndex.of(platform.catalogue())
-        val question =
-            ExplainQuestion(
+        val query =
+            ExplainQuery(
                 OrganisationId(organisation),
                 TaskClass(taskClass),
-                modelNamed(),
-                pinned?.let { versionNamed(it) },
+                requestedModel(),
+                pinned?.let { parseVersion(it) },
                 SessionId(key),
                 demand(index),
             )
-        Explanation.of(index, question, System.currentTimeMillis()).forEach { echo(it) }
+        Explanation.of(index, query, System.currentTimeMillis()).forEach { echo(it) }
     }
 
     private fun demand(index: CatalogueIndex): Demand {
-        val owner =
+        val sender =
             index.organisation(OrganisationId(organisation))
                 ?: throw UsageError("no organisation '$organisation' in generation ${index.generation}")
-        val work = TaskClass(taskClass)
-        val outputTokens = TaskClassifier.expectedOutputTokens(work, null)
-        return Demand(promptTokens, outputTokens, owner.quality.of(work), timeout, mayEscalate = pinned == null)
+        val taskClassId = TaskClass(taskClass)
+        val outputTokens = TaskClassifier.expectedOutputTokens(taskClassId, null)
+        return Demand(promptTokens, outputTokens, sender.quality.of(taskClassId), timeout, mayEscalate = pinned == null)
     }
 
-    private fun modelNamed(): NamedModel? =
+    private fun requestedModel(): RequestedModel? =
         when {
             model == "auto" -> null
-            '@' in model -> NamedModel(versionNamed(model).model, versionNamed(model).version)
-            else -> NamedModel(ModelId(model))
+            '@' in model -> RequestedModel(parseVersion(model).model, parseVersion(model).version)
+            else -> RequestedModel(ModelId(model))
         }
 
-    private fun versionNamed(text: String): ModelVersionId =
+    private fun parseVersion(text: String): ModelVersionId =
         ModelVersionId.parseOrNull(text) ?: throw UsageError("expected model@version, got '$text'")
 
     private companion object {
         const val DEFAULT_PROMPT_TOKENS = 500
-        const val DEFAULT_TIMEOUT = 60_000L
+        const val DEFAULT_TIMEOUT_MILLIS = 60_000L
     }
 }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/Explanation.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/Explanation.kt
@@ -19,68 +19,69 @@
 import dev.almondhaven.model.TaskClass
 import dev.almondhaven.model.VersionId
 
-/** A model, or one version of it, that a caller names. */
-internal data class NamedModel(
+/** The model that a request names: any version of it, or one version if [version] is set. */
+internal data class RequestedModel(
     val model: ModelId,
     val version: VersionId? = null,
 ) {
-    fun covers(id: ModelVersionId): Boolean = id.model == model && (version == null || version == id.version)
+    fun matches(id: ModelVersionId): Boolean = id.model == model && (version == null || version == id.version)
 }
 
 /**
- * A request that somebody asks about.
+ * A hypothetical request whose routing is to be explained.
  *
- * @property pinned the version that its session runs on.
- * @property key decides its place in a roll-out.
+ * @property named model that the request names, or null for any.
+ * @property pinned version to which the request's session is pinned.
+ * @property key session or request id, which decides whether a roll-out includes the request.
  */
-internal data class ExplainQuestion(
+internal data class ExplainQuery(
     val organisation: OrganisationId,
     val taskClass: TaskClass,
-    val named: NamedModel?,
+    val named: RequestedModel?,
     val pinned: ModelVersionId?,
     val key: SessionId,
     val demand: Demand,
 )
 
-/** Explains a choice line by line, by the decision code that routers run. */
+/** Explains a routing decision in lines of text, computed by the decision code that routers run. */
 internal object Explanation {
     fun of(
         index: CatalogueIndex,
-        question: ExplainQuestion,
+        query: ExplainQuery,
         epochMillis: Long,
     ): List<String> {
-        val organisation = index.organisation(question.organisation) ?: return listOf("no such organisation")
+        val organisation = index.organisation(query.organisation) ?: return listOf("no such organisation")
         val pinned =
-            question.pinned?.let { version ->
+            query.pinned?.let { version ->
                 SessionVersionResolver
                     .resolve(index, organisation.id, version)
-                    .fold({ return listOf(describe(it)) }, { it })
+                    .fold({ return listOf(refusalLine(it)) }, { it })
             }
-        val covered = covered(index, question, pinned)
-        val usable = if (pinned != null) covered else inReach(index, question, covered, epochMillis)
-        val verdicts = index.catalogue.models.map { verdict(index, organisation, it, covered, usable) }
-        val plan = PlanChooser.choose(usable.map { candidate(it, question.taskClass) }, question.demand)
-        return heading(index, question, pinned) + verdicts + chosen(index, plan, question.demand)
+        val matching = matchingVersions(index, query, pinned)
+        val eligible = if (pinned != null) matching else eligibleVersions(index, query, matching, epochMillis)
+        val versionLines = index.catalogue.models.map { versionLine(index, organisation, it, matching, eligible) }
+        val plan = PlanChooser.choose(eligible.map { candidate(it, query.taskClass) }, query.demand)
+        return headerLines(index, query, pinned) + versionLines + planLines(index, plan, query.demand)
     }
 
-    private fun covered(
+    private fun matchingVersions(
         index: CatalogueIndex,
-        question: ExplainQuestion,
+        query: ExplainQuery,
         pinned: ModelVersionId?,
     ): List<ModelVersion> =
-        index.allowedVersions(question.organisation).filter { version ->
-            if (pinned != null) version.id == pinned else question.named?.covers(version.id) ?: true
+        index.allowedVersions(query.organisation).filter { version ->
+            if (pinned != null) version.id == pinned else query.named?.matches(version.id) ?: true
         }
 
-    private fun inReach(
+    private fun eligibleVersions(
         index: CatalogueIndex,
-        question: ExplainQuestion,
-        covered: List<ModelVersion>,
+        query: ExplainQuery,
+        matching: List<ModelVersion>,
         epochMillis: Long,
     ): List<ModelVersion> {
-        if (question.named?.version != null) return covered
-        val served = covered.filter { index.endpoints(it.id).isNotEmpty() }.ifEmpty { covered }
-        return RollOutAssignment.eligible(served, question.key.value, epochMillis)
+        if (query.named?.version != null) return matching
+        val withEndpoints = matching.filter { index.endpoints(it.id).isNotEmpty() }.ifEmpty { matching }
+        return RollOutAssignment.eligible(withEndpoints, query.key.value, epochMillis)
     }
 
     private fun candidate(
@@ -88,59 +89,62 @@
         taskClass: TaskClass,
     ): Candidate = Candidate(version, VersionEstimate.of(version, taskClass, emptyMap(), epochMillis = 0))
 
-    private fun heading(
+    private fun headerLines(
         index: CatalogueIndex,
-        question: ExplainQuestion,
+        query: ExplainQuery,
         pinned: ModelVersionId?,
     ): List<String> =
         buildList {
-            val demand = question.demand
+            val demand = query.demand
             add(
-                "generation ${index.generation}, ${question.organisation}, ${question.taskClass}, target ${demand.target}",
+                "generation ${index.generation}, ${query.organisation}, ${query.taskClass}, target ${demand.target}",
             )
-            if (pinned != null) add("the session runs on $pinned")
-            if (pinned != null && pinned != question.pinned) add("  ${question.pinned} is withdrawn, the session moves")
+            if (pinned != null) add("the session is pinned to $pinned")
+            if (pinned != null && pinned != query.pinned) {
+                add("  ${query.pinned} is withdrawn, the session moves to its successor")
+            }
         }
 
-    private fun verdict(
+    private fun versionLine(
         index: CatalogueIndex,
         organisation: Organisation,
         version: ModelVersion,
-        covered: List<ModelVersion>,
-        usable: List<ModelVersion>,
+        matching: List<ModelVersion>,
+        eligible: List<ModelVersion>,
     ): String {
         val endpoints = index.endpoints(version.id).size
         val reason =
             when {
-                version.state == VersionState.WITHDRAWN -> "out: withdrawn"
-                !organisation.allows(version.id) -> "out: the organisation may not use it"
-                version !in covered -> "out: the request or its session names another"
-                version in usable && endpoints > 0 -> "may serve"
-                endpoints == 0 -> "out: no endpoint takes new work"
-                else -> "out: it is another session's turn in the roll-out"
+                version.state == VersionState.WITHDRAWN -> "excluded: withdrawn"
+                !organisation.allows(version.id) -> "excluded: the organisation may not use it"
+                version !in matching -> "excluded: the request names, or its session is pinned to, another version"
+                version in eligible && endpoints > 0 -> "eligible"
+                endpoints == 0 -> "excluded: no endpoint accepts new requests"
+                else -> "excluded: the roll-out assigns this session to another version"
             }
         return "  ${version.id}: $reason ($endpoints endpoints)"
     }
 
-    private fun chosen(
+    private fun planLines(
         index: CatalogueIndex,
         plan: Plan?,
         demand: Demand,
     ): List<String> {
-        if (plan == null) return listOf("refused: no version in service takes the request")
-        val second = plan.escalation?.let { ", then ${it.id} below confidence ${plan.minimumConfidence}" }.orEmpty()
-        val quality = if (plan.meetsTarget) "reaches" else "stays below"
+        if (plan == null) return listOf("refused: no version in service accepts the request")
+        val escalation =
+            plan.escalation?.let { ", escalating to ${it.id} below confidence ${plan.minimumConfidence}" }.orEmpty()
+        val comparison = if (plan.meetsTarget) "meets" else "is below"
         return buildList {
-            add("chosen: ${plan.first.id}$second")
+            add("chosen: ${plan.first.id}$escalation")
             add("  expected cost ${rounded(plan.cost)} micro-units, expected quality ${rounded(plan.quality)}")
-            add("  the quality $quality the target ${demand.target}")
+            add("  the expected quality $comparison the target ${demand.target}")
             index.endpoints(plan.first.id).groupBy { it.failureDomain }.forEach { (domain, endpoints) ->
                 add("  in $domain: ${endpoints.joinToString { it.id.value }}")
             }
         }
     }
 
-    private fun describe(refusal: SessionRefusal): String =
+    private fun refusalLine(refusal: SessionRefusal): String =
         when (refusal) {
             is SessionRefusal.Withdrawn -> "refused: ${refusal.version} is withdrawn without a successor"
             is SessionRefusal.NotAllowed -> "refused: the organisation may not use ${refusal.version}"
--- a/operator/src/main/kotlin/dev/almondhaven/operator/FleetProbe.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/FleetProbe.kt
@@ -6,52 +6,57 @@
 import java.util.concurrent.CompletableFuture
 
 /**
- * Routers as an operator's command found them.
+ * Result of probing the fleet's routers.
  *
- * @property answered by peer address.
- * @property silent routers that others hold to be alive but that didn't answer.
- * @property silentSeeds addresses the operator named at which nobody answered.
+ * @property responses status of each router that responded, by peer address.
+ * @property unresponsive routers that others consider alive but that didn't respond.
+ * @property unresponsiveSeeds addresses given by the operator at which no known router responded.
  */
 internal data class ProbedFleet(
-    val answered: Map<String, PeerStatus>,
-    val silent: List<PeerMember>,
-    val silentSeeds: List<String>,
+    val responses: Map<String, PeerStatus>,
+    val unresponsive: List<PeerMember>,
+    val unresponsiveSeeds: List<String>,
 )
 
-/** Finds the fleet's routers from the few that the operator names. */
+/** Discovers the fleet's routers, starting from the [seeds] that the operator gives as `ip:port`. */
 internal class FleetProbe(
     private val client: RouterClient,
     private val seeds: List<String>,
 ) {
-    /** Asks the named routers, and then every router that they know. */
+    /** Queries the seeds for their status, and then every router that they know. */
     fun probe(): ProbedFleet {
-        val first = ask(seeds)
-        val members = first.values.flatMap { it.members }.distinctBy { it.peerAddress }
-        val all = first + ask(members.map { it.peerAddress }.filter { it !in first })
-        val known = members.map { it.peerAddress }.toSet()
+        val seedResponses = statusesOf(seeds)
+        val members = seedResponses.values.flatMap { it.members }.distinctBy { it.peerAddress }
+        val responses = seedResponses + statusesOf(members.map { it.peerAddress }.filter { it !in seedResponses })
+        val knownAddresses = members.map { it.peerAddress }.toSet()
         return ProbedFleet(
-            all,
-            members.filter { it.peerAddress !in all },
-            seeds.filter { it !in all && it !in known },
+            responses,
+            members.filter { it.peerAddress !in responses },
+            seeds.filter { it !in responses && it !in knownAddresses },
         )
     }
 
-    /** Hands [catalogue] to every router that answers; returns how many hold it now, and of how many. */
+    /** Sends [catalogue] to every router that responds, and counts those that hold it or a newer one now. */
     fun push(catalogue: Catalogue): PushResult {
         val fleet = probe()
-        val answers = fleet.answered.keys.map { client.push(it, catalogue) }
-        val held = answers.map { it.join() }.count { it != null && it.generation >= catalogue.generation }
-        return PushResult(held, fleet.answered.size + fleet.silent.size)
+        val pushes = fleet.responses.keys.map { client.push(it, catalogue) }
+        val holding = pushes.map { it.join() }.count { it != null && it.generation >= catalogue.generation }
+        return PushResult(holding, fleet.responses.size + fleet.unresponsive.size)
     }
 
-    private fun ask(addresses: List<String>): Map<String, PeerStatus> {
+    private fun statusesOf(addresses: List<String>): Map<String, PeerStatus> {
         val calls = addresses.distinct().associateWith { client.status(it) }
         CompletableFuture.allOf(*calls.values.toTypedArray()).join()
         return calls.mapNotNull { (address, call) -> call.join()?.let { address to it } }.toMap()
     }
 }
 
-/** Outcome of handing a configuration to the routers. */
+/**
+ * Outcome of a configuration push.
+ *
+ * @property holding number of routers that hold the configuration or a newer one.
+ * @property known number of routers known, including unresponsive ones.
+ */
 internal data class PushResult(
     val holding: Int,
     val known: Int,
--- a/operator/src/main/kotlin/dev/almondhaven/operator/FleetSummary.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/FleetSummary.kt
@@ -7,14 +7,14 @@
 import kotlinx.serialization.Serializable
 
 /**
- * One failure domain as its routers tell it.
+ * State of one failure domain, as reported by its routers.
  *
- * @property oldest lowest generation in force on a router that answered; null when none did.
- * @property newest highest generation in force on a router that answered.
- * @property confirming routers that hold the accepted generation, or a newer one.
- * @property behind routers that answered with an older generation.
- * @property silent routers that didn't answer.
- * @property stale routers that can't confirm their configuration with the platform, themselves or over others.
+ * @property oldest lowest generation in force on a router that responded; null if none did.
+ * @property newest highest generation in force on a router that responded; null if none did.
+ * @property confirming number of routers that hold the accepted generation, or a newer one.
+ * @property behind routers that responded with an older generation.
+ * @property silent routers that didn't respond.
+ * @property stale routers that can't confirm their configuration with the platform, directly or through peers.
  */
 @Serializable
 internal data class DomainSummary(
@@ -27,15 +27,15 @@
     val silent: List<String>,
     val stale: List<String>,
 ) {
-    /** Routers known of the domain. */
+    /** Number of known routers in the domain. */
     val routers: Int get() = confirming + behind.size + silent.size
 }
 
 /**
- * What `almondhaven status` tells.
+ * Result of `almondhaven status`.
  *
- * @property accepted generation accepted by the platform; null when it didn't answer.
- * @property unknown addresses that the operator named at which nobody answered.
+ * @property accepted newest generation that the platform accepted; null if it didn't respond.
+ * @property unknown addresses given by the operator at which no known router responded.
  */
 @Serializable
 internal data class FleetSummary(
@@ -46,22 +46,22 @@
     /** Whether every known router holds the accepted generation. */
     val complete: Boolean get() = accepted != null && unknown.isEmpty() && domains.all { it.confirming == it.routers }
 
-    /** The summary for people, a line for each domain. */
+    /** The summary as a text table with one line per domain. */
     fun lines(): List<String> =
         buildList {
-            add("accepted generation: ${accepted ?: "unknown, the platform doesn't answer"}")
-            add(ROW.format("domain", "service", "in force", "confirm", "remarks"))
+            add("accepted generation: ${accepted ?: "unknown, the platform doesn't respond"}")
+            add(ROW_FORMAT.format("domain", "service", "in force", "confirm", "remarks"))
             domains.forEach { add(it.row()) }
-            unknown.forEach { add("no router answers at $it") }
+            unknown.forEach { add("no router responds at $it") }
             add(if (complete) "in force everywhere" else "not confirmed everywhere")
         }
 
     private fun DomainSummary.row(): String {
         val service = if (inService) "in" else "OUT"
-        return ROW.format(domain, service, inForce(), "$confirming/$routers", remarks()).trimEnd()
+        return ROW_FORMAT.format(domain, service, generationRange(), "$confirming/$routers", remarks()).trimEnd()
     }
 
-    private fun DomainSummary.inForce(): String =
+    private fun DomainSummary.generationRange(): String =
         when {
             oldest == null -> "-"
             oldest == newest -> "$oldest"
@@ -71,52 +71,55 @@
     private fun DomainSummary.remarks(): String =
         listOf("behind" to behind, "silent" to silent, "stale" to stale)
             .filter { it.second.isNotEmpty() }
-            .joinToString("; ") { (what, routers) -> "$what: ${routers.joinToString()}" }
+            .joinToString("; ") { (label, routers) -> "$label: ${routers.joinToString()}" }
 
     companion object {
-        private const val ROW = "%-16s %-8s %-12s %-8s %s"
+        private const val ROW_FORMAT = "%-16s %-8s %-12s %-8s %s"
 
-        /** Sums up [fleet] against the [catalogue] in force, which is null when the platform didn't answer. */
+        /**
+         * Compares [fleet] with the [catalogue] in force. Without a catalogue, since the platform didn't respond, it
+         * compares with the newest generation that a router reports.
+         */
         fun of(
             catalogue: Catalogue?,
             fleet: ProbedFleet,
         ): FleetSummary {
-            val answered = fleet.answered.values
-            val wanted = catalogue?.generation ?: answered.maxOfOrNull { it.generation } ?: Generation.NONE
+            val responses = fleet.responses.values
+            val expected = catalogue?.generation ?: responses.maxOfOrNull { it.generation } ?: Generation.NONE
             val domains =
                 catalogue?.failureDomains.orEmpty().map { it.id } +
-                    answered.map { it.failureDomain } +
-                    fleet.silent.map { it.failureDomain }
-            val out =
+                    responses.map { it.failureDomain } +
+                    fleet.unresponsive.map { it.failureDomain }
+            val outOfService =
                 catalogue
                     ?.failureDomains
                     .orEmpty()
                     .filter { it.outOfService }
                     .map { it.id }
-            val summaries = domains.distinct().map { summary(it, it !in out, wanted, fleet) }
-            return FleetSummary(catalogue?.generation, summaries, fleet.silentSeeds)
+            val summaries = domains.distinct().map { summary(it, it !in outOfService, expected, fleet) }
+            return FleetSummary(catalogue?.generation, summaries, fleet.unresponsiveSeeds)
         }
 
         private fun summary(
             domain: FailureDomainId,
             inService: Boolean,
-            wanted: Generation,
+            expected: Generation,
             fleet: ProbedFleet,
         ): DomainSummary {
-            val own = fleet.answered.values.filter { it.failureDomain == domain }
-            val (confirming, behind) = own.partition { it.generation >= wanted }
+            val statuses = fleet.responses.values.filter { it.failureDomain == domain }
+            val (confirming, behind) = statuses.partition { it.generation >= expected }
             return DomainSummary(
                 domain,
                 inService,
-                own.minOfOrNull { it.generation },
-                own.maxOfOrNull { it.generation },
+                statuses.minOfOrNull { it.generation },
+                statuses.maxOfOrNull { it.generation },
                 confirming.size,
-                behind.map { it.name() },
-                fleet.silent.filter { it.failureDomain == domain }.map { "${it.id} (${it.peerAddress})" },
-                own.filter { it.staleSince != null }.map { it.name() },
+                behind.map { it.label() },
+                fleet.unresponsive.filter { it.failureDomain == domain }.map { "${it.id} (${it.peerAddress})" },
+                statuses.filter { it.staleSince != null }.map { it.label() },
             )
         }
 
-        private fun PeerStatus.name(): String = "$id at $generation"
+        private fun PeerStatus.label(): String = "$id at $generation"
     }
 }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/HistoryCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/HistoryCommands.kt
@@ -13,15 +13,15 @@
 import kotlinx.serialization.builtins.ListSerializer
 import java.time.Instant
 
-/** Lists the newest accepted entries. */
+/** Lists the newest accepted configuration entries. */
 internal class NoteHistoryCommand : CliktCommand(name = "history") {
     private val platform by PlatformOptions()
     private val output by outputOption()
-    private val last by option(help = "How many entries, newest last.").int().restrictTo(min = 1).default(DEFAULT_LAST)
+    private val last by option(help = "Number of entries, newest last.").int().restrictTo(min = 1).default(DEFAULT_LAST)
 
     override fun help(context: Context): String =
         """
-        Lists the newest accepted entries: when, who, from where, what and why.
+        Lists the newest accepted entries: time, author, host, change and reason.
 
         Example: almondhaven note history --last 5
         """.trimIndent()
@@ -39,14 +39,14 @@
     }
 }
 
-/** Prints and verifies the whole audit trail. */
+/** Prints the whole audit trail and verifies its hash chain. */
 internal class AuditCommand : CliktCommand(name = "audit") {
     private val platform by PlatformOptions()
     private val output by outputOption()
 
     override fun help(context: Context): String =
         """
-        Prints every accepted entry (when, who, from where, what, why) and verifies the chain of hashes.
+        Prints every accepted entry (time, author, host, change, reason) and verifies the hash chain.
 
         Exit code 6 means that an entry was altered or is missing.
 
@@ -61,17 +61,16 @@
             }
 
             Output.JSON -> {
-                echo(
-                    OUTPUT_JSON.encodeToString(ListSerializer(ConfigurationRecord.serializer()), report.records),
-                )
+                echo(OUTPUT_JSON.encodeToString(ListSerializer(ConfigurationRecord.serializer()), report.records))
             }
         }
-        if (report.faults.isNotEmpty()) throw auditBroken(report.faults)
-        val kept = if (report.awaitsObject) "; the newest is kept by the next publication" else ""
-        echo("${report.records.size} entries, the chain of hashes is whole$kept", err = output == Output.JSON)
+        if (report.faults.isNotEmpty()) throw brokenAuditTrail(report.faults)
+        val pending = if (report.awaitsObject) "; the next publication stores the newest" else ""
+        echo("${report.records.size} entries, the hash chain is intact$pending", err = output == Output.JSON)
     }
 }
 
+/** Formats the record as one line of text. */
 internal fun ConfigurationRecord.line(): String =
     "$generation  ${Instant.ofEpochMilli(acceptedAt)}  $author@$from  ${entry.summary()}  ${entry.reason}"
 
@@ -82,5 +81,5 @@
         is ConfigurationEntry.DomainReturned -> "domain $domain returned ($id)"
     }
 
-internal fun auditBroken(faults: List<Any>) =
+internal fun brokenAuditTrail(faults: List<Any>) =
     failure(ResultCode.AUDIT_BROKEN, faults.joinToString("") { "\n  $it" }, ExitCode.AUDIT_BROKEN)
--- a/operator/src/main/kotlin/dev/almondhaven/operator/NoteCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/NoteCommands.kt
@@ -26,7 +26,7 @@
     override fun run(): Unit = Unit
 }
 
-/** A command that reads one release note. */
+/** Base of the commands that read one release note. */
 internal abstract class NoteFileCommand(
     name: String,
 ) : CliktCommand(name) {
@@ -38,20 +38,20 @@
             .read(ReleaseNote.serializer(), file.readText())
             .fold({ throw invalidNote(it) }, { ConfigurationEntry.NotePublished(it) })
 
-    /** The catalogue with [entry] on top of [catalogue]; fails the command with every problem. */
-    protected fun folded(
+    /** Applies [entry] to [catalogue]. Fails the command, listing every problem, if the entry is invalid. */
+    protected fun applyEntry(
         catalogue: Catalogue,
         entry: ConfigurationEntry,
     ): Catalogue = catalogue.accept(entry).fold({ throw invalidNote(it) }, { it })
 }
 
-/** Checks a release note without publishing it. */
+/** Validates a release note without publishing it. */
 internal class NoteCheckCommand : NoteFileCommand(name = "check") {
     override fun help(context: Context): String =
         """
         Checks a release note and lists every problem in it.
 
-        Its shape is always checked; against the configuration in force it is checked when the platform answers.
+        Always checks the note's structure, and checks it against the configuration in force if the platform responds.
 
         Example: almondhaven note check notes/slate-3.yaml
         """.trimIndent()
@@ -60,29 +60,29 @@
         val entry = readEntry()
         platform.store.head().fold(
             { error ->
-                echo("${file.path}: the shape has no problems")
+                echo("${file.path}: no problems in its structure")
                 echo(
-                    "The platform doesn't answer ($error): not checked against the configuration in force.",
+                    "The platform doesn't respond ($error): not checked against the configuration in force.",
                     err = true,
                 )
             },
-            { current ->
-                val catalogue = current?.head?.catalogue ?: Catalogue.EMPTY
-                folded(catalogue, entry)
+            { latest ->
+                val catalogue = latest?.head?.catalogue ?: Catalogue.EMPTY
+                applyEntry(catalogue, entry)
                 echo("${file.path}: no problems on top of generation ${catalogue.generation}")
             },
         )
     }
 }
 
-/** Shows what a release note would change. */
+/** Shows the changes that a release note would make. */
 internal class NoteDiffCommand : NoteFileCommand(name = "diff") {
     override fun help(context: Context): String =
         """
-        Shows what a release note would change in the configuration in force.
+        Shows the changes that a release note would make to the configuration in force.
 
-        Each line begins with + (added), ~ (changed) or - (removed). Publish with --on and the generation shown to be
-        sure that nothing else has changed since.
+        Each line begins with + (added), ~ (changed) or - (removed). To publish only if nothing
+        else has changed since, pass the generation shown to `note publish --on`.
 
         Example: almondhaven note diff notes/slate-3.yaml
         """.trimIndent()
@@ -90,7 +90,7 @@
     override fun run() {
         val entry = readEntry()
         val catalogue = platform.catalogue()
-        val changes = catalogue.differences(folded(catalogue, entry))
+        val changes = catalogue.differences(applyEntry(catalogue, entry))
         echo("note ${entry.id} on top of generation ${catalogue.generation}:")
         changes.forEach { echo("  $it") }
         if (changes.isEmpty()) echo("  no change")
@@ -107,13 +107,13 @@
         """
         Publishes a release note.
 
-        Publishing the same note twice counts once, so when the command can't say whether the note was accepted, run it
-        again. To roll back, publish a new note that says what shall hold.
+        Publishing is idempotent: if the command can't tell whether the note was accepted, run it again. To roll back,
+        publish a new note that restores the earlier values.
 
         Example: almondhaven note publish notes/slate-3.yaml --on 41
 
-        Exit codes: 0 accepted, 2 the note is wrong, 3 another operator was first, 4 the platform doesn't answer and
-        nothing was published, 5 not known yet: run the command again.
+        Exit codes: 0 accepted, 2 the note is invalid, 3 another operator published first, 4 the platform is
+        unavailable and nothing was published, 5 the outcome is unknown: run the command again.
         """.trimIndent()
 
     override fun run() {
@@ -121,14 +121,14 @@
         val accepted =
             platform.store
                 .publish(entry, publisher.publisher(), on?.let { Generation(it) })
-                .fold({ throw failureOf(it) }, { it })
-        val before = if (accepted.already) "was already" else "is"
-        echo("note ${entry.id} $before accepted as generation ${accepted.generation}")
+                .fold({ throw failureWithHistory(it) }, { it })
+        val verb = if (accepted.already) "was already" else "is"
+        echo("note ${entry.id} $verb accepted as generation ${accepted.generation}")
         pushToRouters(routers, platform)
     }
 
-    /** A conflict is told with the entries that came in between, as far as the platform answers. */
-    private fun failureOf(error: PublishError): CliktError {
+    /** Converts [error]. A conflict lists the entries accepted meanwhile, or none if the platform doesn't respond. */
+    private fun failureWithHistory(error: PublishError): CliktError {
         if (error !is PublishError.Conflict) return error.toFailure()
         val records = AuditTrail(platform.objects).read().fold({ emptyList() }, { it.records })
         return conflict(error, records.filter { it.generation > error.expected })
--- a/operator/src/main/kotlin/dev/almondhaven/operator/OperatorFailure.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/OperatorFailure.kt
@@ -7,28 +7,28 @@
 import dev.almondhaven.store.ObjectStore
 import dev.almondhaven.store.PublishError
 
-/** Exit codes of the operators' command line. */
+/** Exit codes of the operators' command-line tool. */
 public object ExitCode {
-    /** The document or the arguments are wrong. */
+    /** The document or an argument is invalid. */
     public const val INVALID: Int = 2
 
-    /** Another operator was first. */
+    /** Another operator published first, or billing records conflict. */
     public const val CONFLICT: Int = 3
 
-    /** The platform didn't answer; nothing was changed. */
+    /** The platform didn't respond; nothing was changed. */
     public const val UNAVAILABLE: Int = 4
 
-    /** A write got no answer: it may take effect. Running the same command again settles it. */
+    /** A write got no response, so its outcome is unknown. Running the same command again is safe and resolves it. */
     public const val UNSETTLED: Int = 5
 
-    /** The audit trail doesn't verify. */
+    /** The hash chain of the audit trail is broken. */
     public const val AUDIT_BROKEN: Int = 6
 
     /** Not every router confirms the accepted generation. */
     public const val NOT_CONFIRMED: Int = 7
 }
 
-/** A command's failure as the terminal shows it: number, name and what exactly went wrong. */
+/** Error that ends a command with [exitCode] and prints the number and name of [code] and the [detail]. */
 internal fun failure(
     code: ResultCode,
     detail: String,
@@ -51,7 +51,7 @@
 internal fun unavailable(detail: String): CliktError =
     failure(ResultCode.PLATFORM_UNAVAILABLE, detail, ExitCode.UNAVAILABLE)
 
-/** A conflict with what changed meanwhile and the [records] that changed it. */
+/** Error for a publish conflict, with the changes made meanwhile and the [records] that made them. */
 internal fun conflict(
     conflict: PublishError.Conflict,
     records: List<ConfigurationRecord> = emptyList(),
@@ -63,16 +63,20 @@
 }
 
 private fun idReused(reused: PublishError.IdReused): CliktError {
-    val text = "'${reused.id}' names another entry, accepted as generation ${reused.generation}; choose a new id"
+    val text = "another entry with id '${reused.id}' was accepted as generation ${reused.generation}; choose a new id"
     return failure(ResultCode.NOTE_ID_REUSED, text, ExitCode.INVALID)
 }
 
 private fun tooLarge(error: PublishError.TooLarge): CliktError {
-    val text = "the configuration would have ${error.bytes} bytes; the limit is ${ObjectStore.MAXIMUM_VALUE_BYTES}"
+    val text = "the configuration would take ${error.bytes} bytes; the limit is ${ObjectStore.MAXIMUM_VALUE_BYTES}"
     return failure(ResultCode.CONFIGURATION_TOO_LARGE, text, ExitCode.INVALID)
 }
 
 private fun unsettled(error: PublishError.Unsettled): CliktError {
-    val text = "${error.error}; '${error.id}' may be accepted now or later. Run the same command again: it settles this"
-    return failure(ResultCode.PUBLISH_UNSETTLED, "$text and never publishes twice", ExitCode.UNSETTLED)
+    val text = "${error.error}; the outcome of '${error.id}' is unknown, and it may still be accepted."
+    return failure(
+        ResultCode.PUBLISH_UNSETTLED,
+        "$text Run the command again; it never publishes twice.",
+        ExitCode.UNSETTLED,
+    )
 }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/OperatorMain.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/OperatorMain.kt
@@ -9,7 +9,7 @@
 /** Entry point of the `almondhaven` binary. */
 public fun main(arguments: Array<String>): Unit = operatorCommand().main(arguments)
 
-/** The whole command tree of the operators' command line. */
+/** Builds the operators' command-line tool with all subcommands. */
 public fun operatorCommand(): CliktCommand =
     OperatorCommand()
         .completionOption(help = "Prints a completion script for bash, zsh or fish.")
@@ -31,12 +31,13 @@
 private class OperatorCommand : CliktCommand(name = "almondhaven") {
     override fun help(context: Context): String =
         """
-        Publishes release notes, takes failure domains out and in, and shows what is in force.
+        Publishes release notes, takes failure domains out of service and returns them, and shows the configuration in
+        force.
 
-        A first round: almondhaven note check NOTE, almondhaven note diff NOTE, almondhaven note publish NOTE.
+        To get started: almondhaven note check NOTE, almondhaven note diff NOTE, almondhaven note publish NOTE.
 
-        Exit codes: 0 done, 1 wrong usage, 2 wrong document, 3 conflict, 4 platform unavailable and nothing changed,
-        5 not known yet (run the same command again), 6 the audit trail is broken, 7 not confirmed everywhere.
+        Exit codes: 0 success, 1 usage error, 2 invalid document, 3 conflict, 4 platform unavailable, nothing changed,
+        5 outcome unknown (run the same command again), 6 audit trail broken, 7 not confirmed by every router.
         """.trimIndent()
 
     override fun run(): Unit = Unit
--- a/operator/src/main/kotlin/dev/almondhaven/operator/Output.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/Output.kt
@@ -6,13 +6,13 @@
 import com.github.ajalt.clikt.parameters.types.enum
 import kotlinx.serialization.json.Json
 
-/** How a command prints its result. */
+/** Output format of a command's result. */
 internal enum class Output {
     TEXT,
     JSON,
 }
 
-/** JSON that people may read, too. */
+/** Indented JSON that includes properties with default values. */
 internal val OUTPUT_JSON: Json =
     Json {
         prettyPrint = true
@@ -21,6 +21,6 @@
 
 /** The option `--output text|json`. */
 internal fun CliktCommand.outputOption() =
-    option("--output", help = "Text for people or JSON for programs.")
+    option("--output", help = "Output format: text for people or JSON for programs.")
         .enum<Output> { it.name.lowercase() }
         .default(Output.TEXT)
--- a/operator/src/main/kotlin/dev/almondhaven/operator/PlatformOptions.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/PlatformOptions.kt
@@ -20,31 +20,32 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Where the platform's object API is, and how often to try it. */
+/** Options for the address of the platform's object API and for retries. */
 internal class PlatformOptions : OptionGroup(name = "Platform") {
     private val platform by option(
         help = "Address of the object API; by default from ALMONDHAVEN_PLATFORM, or else $DEFAULT_PLATFORM.",
         envvar = "ALMONDHAVEN_PLATFORM",
     ).default(DEFAULT_PLATFORM)
-    private val attempts by option(help = "Attempts before the command gives up, with random waits between them.")
+    private val attempts by option(help = "Maximum number of attempts, with randomised backoff between them.")
         .int()
-        .restrictTo(1..MAXIMUM_ATTEMPTS)
+        .restrictTo(1..MAX_ATTEMPTS)
         .default(DEFAULT_ATTEMPTS)
 
-    /** The object API. */
+    /** Client of the platform's object API. */
     val objects: ObjectStore by lazy { HttpObjectStore(URI(platform)) }
 
-    /** The store of configurations, which retries as the options say. */
-    val store: ConfigurationStore by lazy { ConfigurationStore(objects, ::pause) }
+    /** The configuration store, which makes up to `--attempts` attempts. */
+    val store: ConfigurationStore by lazy { ConfigurationStore(objects, ::waitBeforeRetry) }
 
-    /** The catalogue in force; fails the command when the platform doesn't answer. */
+    /** The catalogue in force; fails the command if the platform doesn't respond. */
     fun catalogue(): Catalogue =
         store.head().fold({ throw unavailable("$it") }, { it?.head?.catalogue ?: Catalogue.EMPTY })
 
-    /** The whole audit trail; fails the command when the platform doesn't answer. */
+    /** The whole audit trail; fails the command if the platform doesn't respond. */
     fun auditReport(): AuditReport = AuditTrail(objects).read().fold({ throw unavailable("$it") }, { it })
 
-    private fun pause(attempt: Int): Boolean {
+    /** Waits after failed attempt number [attempt]; returns false if no attempt is left. */
+    private fun waitBeforeRetry(attempt: Int): Boolean {
         if (attempt >= attempts) return false
         TimeUnit.NANOSECONDS.sleep(backoff.delay(attempt, random).inWholeNanoseconds)
         return true
@@ -53,7 +54,7 @@
     private companion object {
         const val DEFAULT_PLATFORM = "http://127.0.0.1:9000"
         const val DEFAULT_ATTEMPTS = 8
-        const val MAXIMUM_ATTEMPTS = 100
+        const val MAX_ATTEMPTS = 100
         val backoff = FullJitterBackoff(base = 200.milliseconds, cap = 5.seconds)
         val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create()
     }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/RequestStory.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/RequestLog.kt
@@ -9,60 +9,56 @@
 import kotlin.io.path.name
 import kotlin.io.path.useLines
 
-/** What routers have logged of one request, in the order of time. */
-internal class RequestStory private constructor(
-    val lines: List<Line>,
+/** The events that routers have logged about one request, ordered by time. */
+internal class RequestLog private constructor(
+    val events: List<Event>,
 ) {
     /**
-     * One logged event.
+     * One log event.
      *
-     * @property source name of the file.
+     * @property source name of the file that holds the event.
      */
-    data class Line(
+    data class Event(
         val at: Instant,
         val source: String,
         val text: String,
     )
 
     companion object {
-        /** Reads the lines that tell of the request [id] from [files]; lines that are no log events are passed over. */
+        /** Reads the events about the request [id] from [files], skipping lines that aren't log events. */
         fun read(
             id: String,
             files: List<Path>,
-        ): RequestStory {
-            val told = Regex("""\brequest=${Regex.escape(id)}(\s|$)""")
-            val found =
+        ): RequestLog {
+            val requestField = Regex("""\brequest=${Regex.escape(id)}(\s|$)""")
+            val events =
                 files.flatMap { file ->
                     file.useLines { lines ->
                         lines
                             .filter { id in it }
-                            .mapNotNull {
-                                event(
-                                    it,
-                                    file.name,
-                                )
-                            }.filter { told.containsMatchIn(it.text) }
+                            .mapNotNull { parseEvent(it, file.name) }
+                            .filter { requestField.containsMatchIn(it.text) }
                             .toList()
                     }
                 }
-            return RequestStory(found.sortedBy { it.at })
+            return RequestLog(events.sortedBy { it.at })
         }
 
-        /** Output may bear a prefix, such as a collector's own time, before the event. */
-        private fun event(
+        /** Parses the JSON event in [line], which may follow a prefix such as a log collector's own timestamp. */
+        private fun parseEvent(
             line: String,
             source: String,
-        ): Line? {
+        ): Event? {
             val fields =
                 try {
                     Json.parseToJsonElement(line.substring(line.indexOf('{').coerceAtLeast(0))) as? JsonObject
                 } catch (_: IllegalArgumentException) {
-                    // Not an event: output of the runtime, or a line that was cut.
+                    // Not an event, such as output of the Java runtime or a truncated line.
                     null
                 }
-            val at = (fields?.get("timestamp") as? JsonPrimitive)?.longOrNull ?: return null
+            val timestamp = (fields?.get("timestamp") as? JsonPrimitive)?.longOrNull ?: return null
             val text = (fields["message"] as? JsonPrimitive)?.content ?: return null
-            return Line(Instant.ofEpochMilli(at), source, text)
+            return Event(Instant.ofEpochMilli(timestamp), source, text)
         }
     }
 }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/RouterClient.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/RouterClient.kt
@@ -18,15 +18,15 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Speaks the peer protocol with routers on an operator's behalf. A router that doesn't answer in time gives null. */
+/** Client of the routers' peer protocol. A call gives null if there is no valid response within two seconds. */
 internal class RouterClient(
     private val keys: PeerKeyRing,
 ) {
-    /** What the router at [address] (`ip:port`) tells of itself. */
+    /** Requests the status of the router at [address] (`ip:port`). */
     fun status(address: String): CompletableFuture<PeerStatus?> =
         call(address, HttpMethod.GET, PeerProtocol.STATUS, body = "", PeerStatus.serializer())
 
-    /** Hands the router at [address] a [catalogue] that was accepted. */
+    /** Sends an accepted [catalogue] to the router at [address]. */
     fun push(
         address: String,
         catalogue: Catalogue,
@@ -59,8 +59,8 @@
     private fun client(address: String): WebClient =
         WebClient
             .builder("http://$address")
-            .responseTimeoutMillis(TIMEOUT.inWholeMilliseconds)
-            .maxResponseLength(MAXIMUM_ANSWER_BYTES)
+            .responseTimeoutMillis(RESPONSE_TIMEOUT.inWholeMilliseconds)
+            .maxResponseLength(MAX_RESPONSE_BYTES)
             .build()
 
     private fun <T> read(
@@ -70,8 +70,8 @@
     ): T? {
         val text = response.contentUtf8()
         val signature = response.headers().get(PeerProtocol.SIGNATURE_HEADER).orEmpty()
-        val genuine = keys.verifiesAnswer(signature, requestSignature, text)
-        if (response.status() != HttpStatus.OK || !genuine) return null
+        val authentic = keys.verifiesAnswer(signature, requestSignature, text)
+        if (response.status() != HttpStatus.OK || !authentic) return null
         return try {
             PeerProtocol.json.decodeFromString(serializer, text)
         } catch (_: SerializationException) {
@@ -80,7 +80,7 @@
     }
 
     private companion object {
-        val TIMEOUT: Duration = 2.seconds
-        const val MAXIMUM_ANSWER_BYTES = 4_000_000L
+        val RESPONSE_TIMEOUT: Duration = 2.seconds
+        const val MAX_RESPONSE_BYTES = 4_000_000L
     }
 }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/RouterOptions.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/RouterOptions.kt
@@ -9,38 +9,41 @@
 import dev.almondhaven.peer.PeerKey
 import dev.almondhaven.peer.PeerKeyRing
 
-/** Which routers to speak to. A few are enough: they name the others. */
+/** Options that name the routers to contact. A few are enough, since they report the others. */
 internal class RouterOptions : OptionGroup(name = "Routers") {
     private val router by option(
-        help = "ip:port of a router's peer protocol; may be given several times, or in ALMONDHAVEN_ROUTERS.",
+        help = "ip:port of a router's peer protocol; repeatable, or set ALMONDHAVEN_ROUTERS.",
         envvar = "ALMONDHAVEN_ROUTERS",
     ).multiple()
-    private val peerKeyFile by option(help = "File with the peer key; or the key itself in ALMONDHAVEN_PEER_KEY.")
+    private val peerKeyFile by option(help = "File with the peer key; or set ALMONDHAVEN_PEER_KEY to the key itself.")
         .file(mustExist = true, canBeDir = false)
 
-    /** The routers named, or null when none are. */
+    /** A probe that starts at the given routers, or null if none are given. */
     fun probeOrNull(): FleetProbe? {
         if (router.isEmpty()) return null
         val key =
             peerKeyFile?.readText()?.trim()
                 ?: System.getenv("ALMONDHAVEN_PEER_KEY")
-                ?: throw UsageError("give the peer key in --peer-key-file or in ALMONDHAVEN_PEER_KEY")
+                ?: throw UsageError("pass the peer key in --peer-key-file or in ALMONDHAVEN_PEER_KEY")
         return FleetProbe(RouterClient(PeerKeyRing(listOf(PeerKey(key)))), router)
     }
 
-    /** The routers named; fails the command when none are. */
+    /** A probe that starts at the given routers; fails the command if none are given. */
     fun probe(): FleetProbe =
-        probeOrNull() ?: throw UsageError("name at least one router with --router or in ALMONDHAVEN_ROUTERS")
+        probeOrNull() ?: throw UsageError("pass at least one router with --router or in ALMONDHAVEN_ROUTERS")
 }
 
-/** Hands the configuration in force to the routers named, if any; the platform's own watchers bring it to the others. */
+/**
+ * Pushes the configuration in force to the given routers and those that they know, if any are given. All other routers
+ * get it by watching the platform.
+ */
 internal fun CliktCommand.pushToRouters(
     routers: RouterOptions,
     platform: PlatformOptions,
 ) {
     val probe = routers.probeOrNull() ?: return
-    platform.store.head().onRight { current ->
-        val result = probe.push(current?.head?.catalogue ?: return)
+    platform.store.head().onRight { latest ->
+        val result = probe.push(latest?.head?.catalogue ?: return)
         echo("in force on ${result.holding} of ${result.known} routers")
     }
 }
--- a/operator/src/main/kotlin/dev/almondhaven/operator/StatusCommand.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/StatusCommand.kt
@@ -5,7 +5,7 @@
 import com.github.ajalt.clikt.core.ProgramResult
 import com.github.ajalt.clikt.parameters.groups.provideDelegate
 
-/** Shows what is in force where. */
+/** Shows which configuration generation is in force in each failure domain. */
 internal class StatusCommand : CliktCommand(name = "status") {
     private val platform by PlatformOptions()
     private val routers by RouterOptions()
@@ -13,10 +13,11 @@
 
     override fun help(context: Context): String =
         """
-        Shows for each failure domain which generation is in force, how many routers confirm it, and who is silent.
+        Shows for each failure domain the generation in force, how many routers confirm it, and which routers are
+        unresponsive.
 
-        The routers named are asked for the others. While the platform is down the newest generation that a router holds
-        is taken as the measure.
+        Discovers the other routers through the given ones. While the platform is down, routers are compared with the
+        newest generation that any router holds.
 
         Example: almondhaven status --router 10.0.0.1:8081 --router 10.1.0.1:8081
 
--- a/operator/src/test/kotlin/dev/almondhaven/operator/BillCommandsTest.kt
+++ b/operator/src/test/kotlin/dev/almondhaven/operator/BillCommandsTest.kt
@@ -59,9 +59,9 @@
         operatorCommand().test("bill $arguments --platform http://${server.hostAndPort}")
 
     @Nested
-    inner class `the export` {
+    inner class `bill export` {
         @Test
-        fun `has each request once`() {
+        fun `prints each request once`() {
             expectThat(bill("export --to 1970010101").stdout).isEqualTo(
                 "request,organisation,ended_at,model,service,prompt_tokens,completion_tokens,cost_micros," +
                     "result_code\r\n" +
@@ -71,15 +71,15 @@
     }
 
     @Nested
-    inner class `the check` {
+    inner class `bill verify` {
         @Test
-        fun `counts harmless repeats`() {
+        fun `counts identical duplicate records`() {
             expectThat(bill("verify --to 1970010101").stdout)
-                .isEqualTo("1 requests, 0 batches stored more than once, 1 records repeated\n")
+                .isEqualTo("1 requests, 0 batches stored more than once, 1 duplicate records\n")
         }
 
         @Test
-        fun `fails on unlike records of one request`() {
+        fun `fails if a request has differing records`() {
             expectThat(bill("verify").statusCode).isEqualTo(ExitCode.CONFLICT)
         }
     }
--- a/operator/src/test/kotlin/dev/almondhaven/operator/ExplainRequestCommandTest.kt
+++ b/operator/src/test/kotlin/dev/almondhaven/operator/ExplainRequestCommandTest.kt
@@ -25,9 +25,9 @@
     ): String = directory.resolve(name).also { it.writeText(lines.joinToString("")) }.toString()
 
     @Nested
-    inner class `a request that two routers have seen` {
+    inner class `a request that two routers logged` {
         @Test
-        fun `is told in the order of time, without other requests and damaged lines`() {
+        fun `is listed in time order, without other requests and damaged lines`() {
             val first =
                 file(
                     "a.log",
@@ -49,12 +49,12 @@
     }
 
     @Nested
-    inner class `a request that no router has seen` {
+    inner class `a request that no router logged` {
         @Test
-        fun `is an error that says so`() {
+        fun `is reported as an error`() {
             val result = ExplainRequestCommand().test(listOf("r-1", file("a.log")))
             expectThat(result.statusCode).isEqualTo(1)
-            expectThat(result.stderr).contains("no line of 1 files tells of request r-1")
+            expectThat(result.stderr).contains("no event about request r-1 in the 1 given files")
         }
     }
 }
--- a/operator/src/test/kotlin/dev/almondhaven/operator/FleetSummaryTest.kt
+++ b/operator/src/test/kotlin/dev/almondhaven/operator/FleetSummaryTest.kt
@@ -45,7 +45,7 @@
         }
 
         @Test
-        fun `with routers behind, silent and stale names them`() {
+        fun `with routers that are behind, silent or stale lists them`() {
             val fleet =
                 ProbedFleet(
                     mapOf("a:1" to status("w1", west, 42), "a:2" to status("w2", west, 40, staleSince = 1)),
@@ -58,13 +58,13 @@
                 "domain           service  in force     confirm  remarks",
                 "west             in       40..42       1/2      behind: w2 at 40; stale: w2 at 40",
                 "east             OUT      -            0/1      silent: e1 (a:3)",
-                "no router answers at a:9",
+                "no router responds at a:9",
                 "not confirmed everywhere",
             )
         }
 
         @Test
-        fun `without the platform is measured by its newest router`() {
+        fun `is compared with its newest router while the platform is down`() {
             val fleet =
                 ProbedFleet(
                     mapOf("a:1" to status("w1", west, 42), "a:2" to status("e1", east, 41)),
@@ -73,7 +73,7 @@
                 )
 
             expectThat(FleetSummary.of(null, fleet).lines()).containsExactly(
-                "accepted generation: unknown, the platform doesn't answer",
+                "accepted generation: unknown, the platform doesn't respond",
                 "domain           service  in force     confirm  remarks",
                 "west             in       42           1/1",
                 "east             in       41           0/1      behind: e1 at 41",
--- a/operator/src/test/kotlin/dev/almondhaven/operator/OperatorCommandTest.kt
+++ b/operator/src/test/kotlin/dev/almondhaven/operator/OperatorCommandTest.kt
@@ -22,18 +22,18 @@
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class OperatorCommandTest {
-    /** Lets each test have a new store behind one server. */
-    private var inner = InMemoryObjectStore()
-    private var objects = FaultyObjectStore(inner, seed = 1)
+    /** Replaced before each test, so that every test has an empty store behind the same server. */
+    private var backingStore = InMemoryObjectStore()
+    private var objects = FaultyObjectStore(backingStore, seed = 1)
     private val server = StandInServer.start { ObjectStoreServer(ReplaceableObjectStore { objects }).addTo(it) }
 
     @TempDir
     lateinit var directory: File
 
     @BeforeEach
-    fun empty() {
-        inner = InMemoryObjectStore()
-        objects = FaultyObjectStore(inner, seed = 1)
+    fun resetStore() {
+        backingStore = InMemoryObjectStore()
+        objects = FaultyObjectStore(backingStore, seed = 1)
     }
 
     @AfterAll
@@ -45,8 +45,8 @@
         vararg arguments: String,
         attempts: Int = 3,
     ): CliktCommandTestResult {
-        val where = arrayOf("--platform", "http://${server.hostAndPort}", "--attempts", "$attempts")
-        return operatorCommand().test(arrayOf(*arguments, *where))
+        val platformOptions = arrayOf("--platform", "http://${server.hostAndPort}", "--attempts", "$attempts")
+        return operatorCommand().test(arrayOf(*arguments, *platformOptions))
     }
 
     private fun note(
@@ -81,7 +81,7 @@
     @Nested
     inner class `note publish` {
         @Test
-        fun `counts a note once however often it is published`() {
+        fun `accepts a note once, however often it is published`() {
             val path = domainNote("west")
 
             expectThat(List(2) { publish(path).output }).isEqualTo(
@@ -116,7 +116,7 @@
         }
 
         @Test
-        fun `finds out that a write without an answer took effect`() {
+        fun `detects that a write without a response took effect`() {
             objects.faults = ObjectStoreFaults(lostAnswers = 1.0)
 
             expectThat(publish(domainNote("west")).output).isEqualTo("note west is accepted as generation 1\n")
@@ -137,21 +137,21 @@
         }
 
         @Test
-        fun `show what would change`() {
+        fun `show the changes that a note would make`() {
             publish(note("first", slate))
-            val dearer =
+            val higherPrice =
                 """
                 models:
                   changed:
                     - { model: slate, version: "1", price: { input: 1.0, output: 3.0 }, quality: { default: 0.9 } }
                 """.trimIndent()
 
-            expectThat(run("note", "diff", note("dearer", dearer)).output)
+            expectThat(run("note", "diff", note("higher-price", higherPrice)).output)
                 .contains("~ models[slate@1] price.output: 2.0 -> 3.0")
         }
 
         @Test
-        fun `check the shape while the platform is down`() {
+        fun `check the structure while the platform is down`() {
             objects.outage = true
 
             expectThat(run("note", "check", domainNote("west")).statusCode).isEqualTo(0)
@@ -161,33 +161,33 @@
     @Nested
     inner class `domain` {
         @Test
-        fun `is taken out and returned as entries of the one order`() {
+        fun `is taken out and returned by consecutive configuration entries`() {
             publish(domainNote("west"))
 
             expectThat(run("domain", "take-out", "west", "--reason", "switch").output)
-                .isEqualTo("failure domain west is taken out as generation 2\n")
+                .isEqualTo("failure domain west is taken out as of generation 2\n")
             expectThat(run("domain", "return", "west", "--reason", "switch").output)
-                .isEqualTo("failure domain west is back in service as generation 3\n")
+                .isEqualTo("failure domain west is back in service as of generation 3\n")
         }
     }
 
     @Nested
     inner class `audit` {
         @Test
-        fun `tells who did what and why, and that the chain is whole`() {
+        fun `lists author, change and reason, and reports an intact hash chain`() {
             publish(domainNote("west"))
 
             expectThat(
                 run("audit").output,
-            ).contains("anna@").contains("note west  try").contains("chain of hashes is whole")
+            ).contains("anna@").contains("note west  try").contains("hash chain is intact")
         }
 
         @Test
         fun `exits with 6 when an entry was altered`() {
             publish(domainNote("west"))
             val key = ObjectKey("configuration/entries/west")
-            val stored = checkNotNull(inner.get(key).getOrNull())
-            inner.put(key, stored.value.replace("anna", "eve"), WriteCondition.AtVersion(stored.version))
+            val stored = checkNotNull(backingStore.get(key).getOrNull())
+            backingStore.put(key, stored.value.replace("anna", "eve"), WriteCondition.AtVersion(stored.version))
 
             expectThat(run("audit").statusCode).isEqualTo(ExitCode.AUDIT_BROKEN)
         }
@@ -196,12 +196,12 @@
     @Nested
     inner class `explain` {
         @Test
-        fun `names the cheapest adequate version and why the others are out`() {
+        fun `names the cheapest adequate version and why others are excluded`() {
             publish(note("first", slate))
             publish(note("second", "models: { withdrawn: [ { model: slate, version: \"2\", successor: \"1\" } ] }\n"))
 
             expectThat(run("explain", "--organisation", "roofers", "--pinned", "slate@2").output)
-                .contains("slate@2 is withdrawn, the session moves")
+                .contains("slate@2 is withdrawn, the session moves to its successor")
                 .contains("chosen: slate@1")
         }
     }
--- a/operator/src/test/kotlin/dev/almondhaven/operator/ReplaceableObjectStore.kt
+++ b/operator/src/test/kotlin/dev/almondhaven/operator/ReplaceableObjectStore.kt
@@ -7,7 +7,7 @@
 import dev.almondhaven.store.WriteCondition
 import kotlin.time.Duration
 
-/** Passes every call on to the store that [current] names at that moment. */
+/** Delegates each call to the store that [current] returns at the time of the call. */
 internal class ReplaceableObjectStore(
     private val current: () -> ObjectStore,
 ) : ObjectStore {
--- a/operator/src/test/kotlin/dev/almondhaven/operator/StatusCommandTest.kt
+++ b/operator/src/test/kotlin/dev/almondhaven/operator/StatusCommandTest.kt
@@ -27,7 +27,7 @@
     private val key = "a-key-for-this-test"
     private val server = StandInServer.start { ObjectStoreServer(InMemoryObjectStore()).addTo(it) }
 
-    /** A router that can't reach the platform, so that what it holds it got from the operator's command. */
+    /** Can't reach the platform, so any configuration that it holds was pushed by the operator's command. */
     private val router =
         Router.start(
             RouterSettings(
@@ -49,15 +49,15 @@
     private fun run(vararg arguments: String): CliktCommandTestResult {
         val keyFile = File(directory, "key").apply { writeText(key) }.path
         val platform = "http://${server.hostAndPort}"
-        val where =
+        val commonOptions =
             arrayOf("--platform", platform, "--router", router.self.peerAddress, "--peer-key-file", keyFile)
-        return operatorCommand().test(arrayOf(*arguments, *where))
+        return operatorCommand().test(arrayOf(*arguments, *commonOptions))
     }
 
     @Nested
     inner class `a published note` {
         @Test
-        fun `is handed to a router that the platform can't reach, and its status confirms it`() {
+        fun `is pushed to a router without access to the platform, whose status confirms it`() {
             val note = File(directory, "note.yaml")
             note.writeText("id: first\nreason: try\nfailureDomains: { added: [ { id: west, region: wales } ] }\n")
 
