--- a/model/src/main/kotlin/dev/almondhaven/billing/BillingRecord.kt
+++ b/model/src/main/kotlin/dev/almondhaven/billing/BillingRecord.kt
@@ -9,11 +9,11 @@
 import kotlinx.serialization.Serializable
 
 /**
- * What one request is billed for; there is one record for each request that was dispatched, and none for others.
+ * What one request is billed for. Each dispatched request has exactly one record; other requests have none.
  *
  * @property endedAt epoch milliseconds by the router's clock.
  * @property costMicros price of the tokens in micro-units of the users' currency.
- * @property resultCode number of the result code that the caller got; 0 is success.
+ * @property resultCode number of the result code returned to the caller; 0 for success.
  */
 @Serializable
 public data class BillingRecord(
@@ -28,7 +28,7 @@
     @SerialName("code") public val resultCode: Int = 0,
 )
 
-/** Name of a batch, unique for ever: the router that sealed it and its number there. */
+/** Globally unique and never reused name of a batch: the router that sealed it and its number on that router. */
 @Serializable
 public data class BatchName(
     @SerialName("router") public val router: RouterId,
@@ -37,7 +37,7 @@
     override fun toString(): String = "$router/$number"
 }
 
-/** Records that belong together from now on; a batch never changes once it is sealed. */
+/** An immutable batch of records; its records never change after it is sealed. */
 @Serializable
 public data class SealedBatch(
     public val name: BatchName,
@@ -45,7 +45,7 @@
     public val records: List<BillingRecord>,
 )
 
-/** The value of one billing object of the platform. */
+/** The value of one billing object in the platform's store. */
 @Serializable
 public data class BillingObject(
     public val batches: List<SealedBatch>,
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/Catalogue.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/Catalogue.kt
@@ -4,10 +4,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The whole configuration in force at one generation: the fold of every accepted [ConfigurationEntry] in order.
+ * The complete configuration at one generation: the result of applying every accepted [ConfigurationEntry] in order.
  *
- * It is what the platform stores as the compacted snapshot and what routers hold in memory; [CatalogueIndex] answers
- * look-ups on it.
+ * The platform stores it as the compacted snapshot, and routers hold it in memory; [CatalogueIndex] provides look-ups.
  */
 @Serializable
 public data class Catalogue(
@@ -19,7 +18,7 @@
     public val endpoints: List<Endpoint> = emptyList(),
 ) {
     public companion object {
-        /** The catalogue before any entry was accepted. */
+        /** The catalogue before the first accepted entry. */
         public val EMPTY: Catalogue = Catalogue()
     }
 }
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueChange.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueChange.kt
@@ -10,7 +10,7 @@
 /** What happened to one item of the catalogue. */
 @Serializable
 public enum class ChangeKind(
-    /** The sign in front of the item in a listing. */
+    /** Prefix of the item in a listing. */
     public val sign: String,
 ) {
     ADDED("+"),
@@ -21,7 +21,7 @@
 /**
  * One field that differs.
  *
- * @property path where it stands in the item, for example `price.output`.
+ * @property path path of the field in the item, for example `price.output`.
  * @property before the value as text; empty when there was none.
  * @property after the value as text; empty when there is none.
  */
@@ -44,7 +44,7 @@
     override fun toString(): String = "${kind.sign} $item ${fields.joinToString("; ")}".trim()
 }
 
-/** What one has to change in this catalogue to get [other], the generations aside. */
+/** Changes that turn this catalogue into [other], ignoring the generations. */
 public fun Catalogue.differences(other: Catalogue): List<CatalogueChange> =
     buildList {
         addAll(compare("failureDomains", failureDomains, other.failureDomains, FailureDomain.serializer()) { it.id })
@@ -66,9 +66,12 @@
     val previous = before.associateBy(id)
     val next = after.associateBy(id)
     val removed = previous.keys - next.keys
-    val gone = removed.map { CatalogueChange(ChangeKind.REMOVED, "$section[$it]") }
-    val others = next.mapNotNull { (key, item) -> change("$section[$key]", previous[key], item, serializer) }
-    return gone + others
+    val removals = removed.map { CatalogueChange(ChangeKind.REMOVED, "$section[$it]") }
+    val additionsAndChanges =
+        next.mapNotNull { (key, item) ->
+            change("$section[$key]", previous[key], item, serializer)
+        }
+    return removals + additionsAndChanges
 }
 
 private fun <T> change(
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueFold.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueFold.kt
@@ -7,9 +7,10 @@
 import dev.almondhaven.settings.Problem
 
 /**
- * Adds an entry to this catalogue: the next generation, or every problem that keeps the entry from being accepted.
+ * Applies an entry to this catalogue. Returns the catalogue of the next generation, or every problem for which the
+ * entry is rejected.
  *
- * The fold is a pure function, so every holder of the same entries computes the same catalogue.
+ * This is a pure function, so every process that applies the same entries in order computes the same catalogue.
  */
 public fun Catalogue.accept(entry: ConfigurationEntry): Either<List<Problem>, Catalogue> {
     val problems = CatalogueValidator.idProblems("id", entry.id.value)
@@ -40,8 +41,11 @@
 private fun FailureDomain.returned(at: Long): FailureDomain =
     if (outOfService) copy(outOfService = false, returnedAt = at) else this
 
-/** A note describes a domain; only taking out and returning decide whether it is in service. */
-private fun Catalogue.keepingService(changed: FailureDomain): FailureDomain {
+/**
+ * Keeps the service state of a domain that a note changes: only [ConfigurationEntry.DomainTakenOut] and
+ * [ConfigurationEntry.DomainReturned] may change it.
+ */
+private fun Catalogue.withPreviousServiceState(changed: FailureDomain): FailureDomain {
     val previous = failureDomains.firstOrNull { it.id == changed.id } ?: return changed
     return changed.copy(outOfService = previous.outOfService, returnedAt = previous.returnedAt)
 }
@@ -55,7 +59,7 @@
             failureDomains =
                 failureDomains.fold(
                     domainChanges.run {
-                        Changes("failureDomains", added, changed.map { keepingService(it) }, withdrawn)
+                        Changes("failureDomains", added, changed.map { withPreviousServiceState(it) }, withdrawn)
                     },
                     FailureDomain::id,
                     problems,
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueIndex.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueIndex.kt
@@ -9,7 +9,7 @@
 import dev.almondhaven.model.ServiceId
 
 /**
- * Immutable look-up tables over one [Catalogue], built once per generation and read by every request.
+ * Immutable look-up tables over one [Catalogue], built once per generation and used by every request.
  */
 public class CatalogueIndex private constructor(
     public val catalogue: Catalogue,
@@ -63,10 +63,10 @@
         id: ModelVersionId,
     ): Boolean = version(id)?.state == VersionState.ACTIVE && organisation(organisation)?.allows(id) == true
 
-    /** Whether [domain] takes new work. A domain that the notes don't declare takes work. */
+    /** Whether [domain] takes new work. A domain that is not in the catalogue does. */
     public fun inService(domain: FailureDomainId): Boolean = domainsById[domain]?.outOfService != true
 
-    /** Whether the endpoint [id] takes new work: it is in the catalogue, isn't leaving, and its domain is in service. */
+    /** Whether the endpoint [id] takes new work: it is in the catalogue, is not leaving and its domain is in service. */
     public fun takesNewWork(id: EndpointId): Boolean = endpointsById[id]?.let { takesNewWork(it) } ?: false
 
     /** Endpoints meant to serve [id] that take new work. */
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueItemBuilders.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueItemBuilders.kt
@@ -7,7 +7,7 @@
 import dev.almondhaven.model.TaskClass
 import dev.almondhaven.model.VersionId
 
-/** Describes one model version; free of charge and of full quality unless said otherwise. */
+/** Describes one model version; by default it has price 0 and quality 1. */
 @ReleaseNoteDsl
 public class ModelVersionBuilder internal constructor() {
     private var price = Price(0.0, 0.0)
@@ -16,7 +16,7 @@
     private var rollOut: RollOut? = null
     private var adapters = emptyList<AdapterId>()
 
-    /** Micro-units per prompt token and per generated token. */
+    /** Price in micro-units per prompt token and per generated token. */
     public fun price(
         input: Double,
         output: Double,
@@ -24,7 +24,7 @@
         price = Price(input, output)
     }
 
-    /** Expected quality, and by task class where it differs. */
+    /** Expected quality, with exceptions by task class. */
     public fun quality(
         default: Double,
         vararg classes: Pair<TaskClass, Double>,
@@ -45,7 +45,7 @@
         rollOut = RollOut(VersionId(predecessor), steps = steps.toList())
     }
 
-    /** An adapter loaded on top. */
+    /** Adds an adapter that is loaded on top of the version. */
     public fun adapter(id: String) {
         adapters = adapters + AdapterId(id)
     }
@@ -65,7 +65,7 @@
         )
 }
 
-/** Describes one organisation; without a quality target unless said otherwise. */
+/** Describes one organisation; by default it has no quality target. */
 @ReleaseNoteDsl
 public class OrganisationBuilder internal constructor() {
     private var tokenDigests = emptyList<String>()
@@ -101,7 +101,7 @@
         limits = OrganisationLimits(concurrency, tokensPerMinute)
     }
 
-    /** Allows [versions] of [model], or all of them. */
+    /** Allows [versions] of [model], or every version if none is given. */
     public fun allow(
         model: String,
         vararg versions: String,
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueValidator.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/CatalogueValidator.kt
@@ -2,7 +2,7 @@
 
 import dev.almondhaven.settings.Problem
 
-/** Checks that a catalogue makes sense as a whole: references resolve and numbers are within their ranges. */
+/** Checks that a catalogue is consistent: references resolve and numbers are within their ranges. */
 internal object CatalogueValidator {
     private val idPattern = Regex("[A-Za-z0-9][A-Za-z0-9._-]*")
     private val digestPattern = Regex("[0-9a-f]{64}")
@@ -53,15 +53,15 @@
     ): List<Problem> =
         buildList {
             val path = "models[${version.id}].rollOut"
-            val usable = predecessorKnown && rollOut.predecessor != version.version
-            addUnless(usable, "$path.predecessor", rollOut.predecessor, "another version of the model")
+            val isValidPredecessor = predecessorKnown && rollOut.predecessor != version.version
+            addUnless(isValidPredecessor, "$path.predecessor", rollOut.predecessor, "another version of the model")
             addUnless(rollOut.steps.isNotEmpty(), "$path.steps", "nothing", "at least one step")
             rollOut.steps.forEachIndexed { index, step ->
                 addUnless(step.share in 0.0..1.0, "$path.steps[$index].share", step.share, "0 to 1")
                 addUnless(step.minutes > 0, "$path.steps[$index].minutes", step.minutes, "1 or more")
             }
-            val rising = rollOut.steps.zipWithNext().all { (first, second) -> first.share <= second.share }
-            addUnless(rising, "$path.steps", rollOut.steps.map { it.share }, "shares that never fall")
+            val isNonDecreasing = rollOut.steps.zipWithNext().all { (first, second) -> first.share <= second.share }
+            addUnless(isNonDecreasing, "$path.steps", rollOut.steps.map { it.share }, "shares that never decrease")
         }
 
     private fun check(
@@ -113,8 +113,8 @@
             addAll(idProblems("$path.id", service.id.value))
             service.calls.forEachIndexed { index, call ->
                 addUnless(call.path.startsWith("/"), "$path.calls[$index].path", call.path, "a path beginning with /")
-                val capitals = call.method.isNotEmpty() && call.method.all { it in 'A'..'Z' }
-                addUnless(capitals, "$path.calls[$index].method", call.method, "an HTTP method in capitals")
+                val isUpperCase = call.method.isNotEmpty() && call.method.all { it in 'A'..'Z' }
+                addUnless(isUpperCase, "$path.calls[$index].method", call.method, "an HTTP method in upper case")
             }
         }
 
@@ -129,7 +129,7 @@
                 addressPattern.matches(endpoint.address),
                 "$path.address",
                 endpoint.address,
-                "an IP number and port",
+                "an IP address and port",
             )
             addUnless(endpoint.slots > 0, "$path.slots", endpoint.slots, "1 or more")
             val domainKnown = catalogue.failureDomains.any { it.id == endpoint.failureDomain }
@@ -143,7 +143,7 @@
                 (service == null) != endpoint.versions.isEmpty(),
                 path,
                 endpoint.id,
-                "either versions or a service, not both and not neither",
+                "either versions or a service, and not both",
             )
             endpoint.versions.forEachIndexed { index, version ->
                 val known = catalogue.models.any { it.id == version }
@@ -151,18 +151,18 @@
             }
         }
 
-    /** What keeps [id] from being an id. */
+    /** The problem with [id] if it is not a valid id. */
     fun idProblems(
         path: String,
         id: String,
     ): List<Problem> = if (idPattern.matches(id)) emptyList() else listOf(Problem(path, id, ID_EXPECTED))
 
     private fun MutableList<Problem>.addUnless(
-        holds: Boolean,
+        isValid: Boolean,
         path: String,
         value: Any,
         expected: String,
     ) {
-        if (!holds) add(Problem(path, "$value", expected))
+        if (!isValid) add(Problem(path, "$value", expected))
     }
 }
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/ConfigurationEntry.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/ConfigurationEntry.kt
@@ -5,13 +5,13 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** One accepted act of an operator; the total order of entries is the configuration's history. */
+/** One accepted operator action; the totally ordered entries are the history of the configuration. */
 @Serializable
 public sealed interface ConfigurationEntry {
-    /** Identifies the act, so that a repeated submission is recognised. */
+    /** Identifies the action, so that a repeated submission is detected. */
     public val id: NoteId
 
-    /** Why the operator did it. */
+    /** Why the operator took the action. */
     public val reason: String
 
     /** A release note was published. */
@@ -34,9 +34,9 @@
     ) : ConfigurationEntry
 
     /**
-     * A failure domain was brought back.
+     * A failure domain was returned to service.
      *
-     * @property at epoch milliseconds from which its load ramps up; publishing fills it in.
+     * @property at epoch milliseconds from which its load ramps up; set when the entry is published.
      */
     @Serializable
     @SerialName("domain_returned")
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/ConfigurationTimestamps.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/ConfigurationTimestamps.kt
@@ -1,8 +1,8 @@
 package dev.almondhaven.catalogue
 
 /**
- * This entry with the times filled in that an operator leaves out: [now] (epoch milliseconds) as the start of new
- * roll-outs and as the time of a domain's return. A roll-out that [catalogue] already runs keeps its start.
+ * Fills in the times that the operator left out: [now] (epoch milliseconds) becomes the start of new roll-outs and the
+ * time of a domain's return. A roll-out that [catalogue] already contains unchanged keeps its start.
  */
 public fun ConfigurationEntry.withTimestamps(
     catalogue: Catalogue,
@@ -31,6 +31,6 @@
 ): ModelVersion {
     val planned = rollOut ?: return this
     if (planned.startedAt != 0L) return this
-    val goesOn = running != null && running.copy(startedAt = 0) == planned
-    return copy(rollOut = planned.copy(startedAt = if (goesOn) running.startedAt else now))
+    val isUnchanged = running != null && running.copy(startedAt = 0) == planned
+    return copy(rollOut = planned.copy(startedAt = if (isUnchanged) running.startedAt else now))
 }
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/Endpoint.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/Endpoint.kt
@@ -11,11 +11,11 @@
  * One replica of a model engine or of a plain service.
  *
  * @property address `ip:port`.
- * @property versions model versions that the engine is meant to serve; empty for a plain service.
+ * @property versions model versions that the engine should serve; empty for a plain service.
  * @property service plain service that the endpoint serves; null for an engine.
- * @property slots requests that the endpoint runs at once when warm.
- * @property honoursFencing whether the engine refuses orders that carry an old fencing number.
- * @property leaving whether the endpoint is about to go: it gets no new work, and running work goes on.
+ * @property slots number of requests that the endpoint runs concurrently when warm.
+ * @property honoursFencing whether the engine rejects orders with an outdated fencing token.
+ * @property leaving whether the endpoint is draining: it gets no new work, and running work continues.
  */
 @Serializable
 public data class Endpoint(
@@ -36,8 +36,8 @@
 /**
  * A failure domain.
  *
- * @property outOfService whether operators have taken it out.
- * @property returnedAt epoch milliseconds at which operators brought it back; 0 when it never was out.
+ * @property outOfService whether operators have taken it out of service.
+ * @property returnedAt epoch milliseconds at which operators returned it to service; 0 if it was never out.
  */
 @Serializable
 public data class FailureDomain(
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/ModelVersion.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/ModelVersion.kt
@@ -9,7 +9,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Where a model version stands in its life. */
+/** Lifecycle state of a model version. */
 @Serializable
 public enum class VersionState {
     /** Takes sessions and requests. */
@@ -34,11 +34,11 @@
 )
 
 /**
- * Expected quality before any rating has come in, from 0 to 1.
+ * Prior for the expected quality, from 0 to 1, which applies until ratings arrive.
  *
- * @property default quality for a task class that [classes] doesn't name.
+ * @property default quality for a task class that [classes] does not contain.
  * @property classes quality by task class.
- * @property weight how many ratings this expectation counts for.
+ * @property weight number of ratings that this prior counts for.
  */
 @Serializable
 public data class QualityPrior(
@@ -46,11 +46,11 @@
     public val classes: Map<TaskClass, Double> = emptyMap(),
     public val weight: Double = DEFAULT_WEIGHT,
 ) {
-    /** The expectation for [taskClass]. */
+    /** The expected quality for [taskClass]. */
     public fun of(taskClass: TaskClass): Double = classes[taskClass] ?: default
 
     public companion object {
-        /** Ratings that a prior counts for unless the note says otherwise. */
+        /** Number of ratings that a prior counts for by default. */
         public const val DEFAULT_WEIGHT: Double = 20.0
     }
 }
@@ -58,7 +58,7 @@
 /**
  * One stage of a roll-out.
  *
- * @property share part of new sessions that start on the version, from 0 to 1.
+ * @property share fraction of new sessions that start on the version, from 0 to 1.
  * @property minutes how long the stage lasts before the next one starts.
  */
 @Serializable
@@ -70,12 +70,12 @@
 /**
  * A staged roll-out of a version against its predecessor.
  *
- * @property predecessor the version that new sessions otherwise start on, and that the test compares with.
- * @property startedAt epoch milliseconds at which the first step begins; the publishing command fills it in.
+ * @property predecessor the version that other new sessions start on and that the canary is compared with.
+ * @property startedAt epoch milliseconds at which the first step begins; set when the note is published.
  * @property steps the stages in order; after the last one the version takes all new sessions.
- * @property maximumErrorIncrease error-rate difference to the predecessor that halts the roll-out.
- * @property maximumQualityLoss quality difference to the predecessor that halts the roll-out.
- * @property maximumLatencyRatio latency ratio to the predecessor that halts the roll-out.
+ * @property maximumErrorIncrease increase in error rate over the predecessor that halts the roll-out.
+ * @property maximumQualityLoss loss of quality against the predecessor that halts the roll-out.
+ * @property maximumLatencyRatio ratio of the latency to the predecessor's that halts the roll-out.
  */
 @Serializable
 public data class RollOut(
@@ -94,11 +94,11 @@
 }
 
 /**
- * A version of a model as the release notes describe it.
+ * A version of a model as described by the release notes.
  *
  * @property successor version that sessions move to once this one is withdrawn.
- * @property promptTokensLimit longest prompt the version accepts, in tokens.
- * @property definedIn generation of the note that added or last changed the version; the fold sets it.
+ * @property promptTokensLimit maximum prompt length of the version in tokens.
+ * @property definedIn generation of the note that added or last changed the version; set when the note is applied.
  */
 @Serializable
 public data class ModelVersion(
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/Organisation.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/Organisation.kt
@@ -12,19 +12,19 @@
 /** What happens when no allowed plan reaches the organisation's quality target. */
 @Serializable
 public enum class TargetMissedRule {
-    /** Serve with the best allowed plan and say so in the answer. */
+    /** Serve with the best allowed plan and report that in the response. */
     @SerialName("best_available")
     BEST_AVAILABLE,
 
-    /** Refuse; the request is not run. */
+    /** Reject the request without running it. */
     @SerialName("refuse")
     REFUSE,
 }
 
 /**
- * Quality that answers must have on average, from 0 to 1.
+ * Average quality that answers must reach, from 0 to 1.
  *
- * @property default target for a task class that [classes] doesn't name.
+ * @property default target for a task class that [classes] does not contain.
  */
 @Serializable
 public data class QualityTarget(
@@ -39,22 +39,22 @@
 /**
  * A model that an organisation may use.
  *
- * @property versions the versions allowed; empty means every version of the model.
+ * @property versions the allowed versions; empty allows every version of the model.
  */
 @Serializable
 public data class AllowedModel(
     public val model: ModelId,
     public val versions: List<VersionId> = emptyList(),
 ) {
-    /** Whether [id] is covered. */
+    /** Whether the organisation may use the version [id]. */
     public fun allows(id: ModelVersionId): Boolean = id.model == model && (versions.isEmpty() || id.version in versions)
 }
 
 /**
- * Limits over the whole fleet.
+ * Limits of one organisation over the whole fleet.
  *
- * @property concurrency requests in flight at once.
- * @property tokensPerMinute prompt and generated tokens per minute.
+ * @property concurrency maximum number of concurrent requests.
+ * @property tokensPerMinute maximum number of prompt and generated tokens per minute.
  */
 @Serializable
 public data class OrganisationLimits(
@@ -68,10 +68,10 @@
 }
 
 /**
- * A customer and what it may do.
+ * A customer with its permissions, limits and quality target.
  *
  * @property tokenDigests lower-case hexadecimal SHA-256 digests of its bearer tokens.
- * @property share weight in fair sharing; twice the share gets twice the capacity under overload.
+ * @property share weight in fair queueing; under overload, twice the share gets twice the capacity.
  */
 @Serializable
 public data class Organisation(
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/ReleaseNote.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/ReleaseNote.kt
@@ -12,7 +12,7 @@
 /**
  * Withdraws one version of a model.
  *
- * @property successor version that its sessions move to; overrides the one the version named.
+ * @property successor version that its sessions move to; overrides the successor that the version itself names.
  */
 @Serializable
 public data class Withdrawal(
@@ -62,8 +62,8 @@
 )
 
 /**
- * What operators publish: the changes to models, organisations, services, endpoints and failure domains, with the
- * reason for them.
+ * A set of changes that operators publish: to models, organisations, services, endpoints and failure domains, with the
+ * reason.
  */
 @Serializable
 public data class ReleaseNote(
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/ReleaseNoteBuilder.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/ReleaseNoteBuilder.kt
@@ -10,7 +10,7 @@
 import dev.almondhaven.model.ServiceId
 import dev.almondhaven.model.VersionId
 
-/** Keeps the builders of a release note from being nested by mistake. */
+/** Prevents calls to an outer release note builder from inside a nested one. */
 @DslMarker
 public annotation class ReleaseNoteDsl
 
@@ -63,7 +63,7 @@
         models = models.copy(added = models.added + added)
     }
 
-    /** Replaces a model version by what [build] describes. */
+    /** Replaces a model version with the one that [build] describes. */
     public fun changeModel(
         model: String,
         version: String,
@@ -92,7 +92,7 @@
         organisations = organisations.copy(added = organisations.added + added)
     }
 
-    /** Replaces an organisation by what [build] describes. */
+    /** Replaces an organisation with the one that [build] describes. */
     public fun changeOrganisation(
         id: String,
         build: OrganisationBuilder.() -> Unit,
--- a/model/src/main/kotlin/dev/almondhaven/catalogue/Service.kt
+++ b/model/src/main/kotlin/dev/almondhaven/catalogue/Service.kt
@@ -6,8 +6,8 @@
 /**
  * A call of a plain service.
  *
- * @property method HTTP method in capitals.
- * @property path path prefix below the service, beginning with `/`.
+ * @property method HTTP method in upper case.
+ * @property path path prefix relative to the service, beginning with `/`.
  * @property idempotent whether running the call twice has the effect of running it once.
  */
 @Serializable
@@ -23,7 +23,7 @@
     ): Boolean = this.method == method && (path == this.path || path.startsWith(this.path.trimEnd('/') + "/"))
 }
 
-/** A plain service that is routed beside the model engines. A call that isn't listed doesn't exist. */
+/** A plain service that is routed in addition to the model engines. Calls that are not listed are rejected. */
 @Serializable
 public data class Service(
     public val id: ServiceId,
--- a/model/src/main/kotlin/dev/almondhaven/engine/EngineMessages.kt
+++ b/model/src/main/kotlin/dev/almondhaven/engine/EngineMessages.kt
@@ -4,9 +4,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Body of `PUT /engine/desired-state`: what an engine ought to have loaded. Sent again it changes nothing.
+ * Body of `PUT /engine/desired-state`: the versions that an engine should load. The request is idempotent.
  *
- * @property fencing number of the lease under which the order is given; an engine that honours it refuses lower ones.
+ * @property fencing fencing token of the lease that covers the order; an engine that supports fencing rejects lower ones.
  */
 @Serializable
 public data class EngineOrder(
@@ -17,7 +17,7 @@
 /**
  * Answer of `GET /engine/desired-state`.
  *
- * @property desired versions of the last order that the engine took.
+ * @property desired versions of the last order that the engine accepted.
  * @property loaded versions that the engine can serve now.
  */
 @Serializable
--- a/model/src/main/kotlin/dev/almondhaven/model/Identifiers.kt
+++ b/model/src/main/kotlin/dev/almondhaven/model/Identifiers.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.serialization.Serializable
 
-// The identifiers that release notes, settings and wire messages share. Each is a value class, so that a model
-// can't be passed where an organisation is expected. The words VM, failure domain, organisation and endpoint are the
-// users' own; docs/GLOSSARY.md maps them to the standard terms.
+// The identifiers that release notes, settings and wire messages share. Each is a value class, so that for example a
+// model can't be passed where an organisation is expected. The words VM, failure domain, organisation and endpoint are
+// the users' own; docs/GLOSSARY.md maps them to the standard terms.
 
 /** A customer of the system, named in the release note. */
 @Serializable
@@ -15,7 +15,7 @@
     override fun toString(): String = value
 }
 
-/** A model, independent of its version. */
+/** A model, without its version. */
 @Serializable
 @JvmInline
 public value class ModelId(
@@ -78,7 +78,7 @@
     override fun toString(): String = value
 }
 
-/** One router process; a restarted process gets a new one. */
+/** One router process; a restart yields a new id. */
 @Serializable
 @JvmInline
 public value class RouterId(
@@ -87,7 +87,7 @@
     override fun toString(): String = value
 }
 
-/** One request of a caller, whatever retries and escalations it takes. */
+/** One request of a caller, including all its retries and escalations. */
 @Serializable
 @JvmInline
 public value class RequestId(
@@ -96,7 +96,7 @@
     override fun toString(): String = value
 }
 
-/** A conversation of a caller that has to stay on one model version. */
+/** A conversation of a caller that must stay on one model version. */
 @Serializable
 @JvmInline
 public value class SessionId(
@@ -105,7 +105,7 @@
     override fun toString(): String = value
 }
 
-/** A release note, unique for ever; publishing the same id again is recognised as the same act. */
+/** A release note. The id is never reused; publishing the same id again is detected as the same operation. */
 @Serializable
 @JvmInline
 public value class NoteId(
@@ -123,7 +123,7 @@
     override fun toString(): String = value
 }
 
-/** Position in the total order of accepted configurations; only ever rises. */
+/** Position in the total order of accepted configurations; increases monotonically. */
 @Serializable
 @JvmInline
 public value class Generation(
@@ -137,7 +137,7 @@
     public fun next(): Generation = Generation(value + 1)
 
     public companion object {
-        /** The generation before any configuration was accepted. */
+        /** The generation before the first accepted configuration. */
         public val NONE: Generation = Generation(0)
     }
 }
--- a/model/src/main/kotlin/dev/almondhaven/model/NanoClock.kt
+++ b/model/src/main/kotlin/dev/almondhaven/model/NanoClock.kt
@@ -4,7 +4,7 @@
 import kotlin.time.Duration.Companion.nanoseconds
 
 /**
- * A monotonic clock in nanoseconds. Decisions take it as a parameter, so that tests drive time by hand.
+ * A monotonic clock in nanoseconds. Code that depends on time takes it as a parameter, so that tests control the time.
  *
  * ```
  * var now = 0L
@@ -12,14 +12,14 @@
  * ```
  */
 public fun interface NanoClock {
-    /** Nanoseconds since an arbitrary origin; never goes back. */
+    /** Nanoseconds since an arbitrary origin; never decreases. */
     public fun nanos(): Long
 
-    /** How long ago [since], an earlier value of [nanos], was. */
+    /** Time since [since], an earlier value of [nanos]. */
     public fun elapsed(since: Long): Duration = (nanos() - since).nanoseconds
 
     public companion object {
-        /** The process's own monotonic clock. */
+        /** The monotonic clock of the JVM. */
         public val SYSTEM: NanoClock = NanoClock { System.nanoTime() }
     }
 }
--- a/model/src/main/kotlin/dev/almondhaven/model/Outcome.kt
+++ b/model/src/main/kotlin/dev/almondhaven/model/Outcome.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a caller may conclude about the effect of a request that got an error. */
+/** Whether a request that ended in an error may have been executed. */
 @Serializable
 public enum class Outcome {
     /** No byte of the request reached an endpoint, and none will. */
--- a/model/src/main/kotlin/dev/almondhaven/model/RatingPage.kt
+++ b/model/src/main/kotlin/dev/almondhaven/model/RatingPage.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.Serializable
 
 /**
- * What the rating service thinks of one answer.
+ * The rating of one answer by the rating service.
  *
  * @property rating from 0 to 1.
  */
@@ -14,9 +14,9 @@
 )
 
 /**
- * Ratings behind a cursor, oldest first.
+ * One page of ratings after a cursor, oldest first.
  *
- * @property next cursor to ask with for what comes after this page.
+ * @property next cursor that requests the page after this one.
  */
 @Serializable
 public data class RatingPage(
--- a/model/src/main/kotlin/dev/almondhaven/model/Refusal.kt
+++ b/model/src/main/kotlin/dev/almondhaven/model/Refusal.kt
@@ -3,12 +3,12 @@
 import kotlin.time.Duration
 
 /**
- * Why a request got an error instead of an answer.
+ * An error that a request ended with in place of a response.
  *
- * @property code the numbered result.
- * @property detail what exactly was wrong, for the caller.
- * @property outcome whether the request ran.
- * @property retryAfter how long the caller should wait before it tries again; null when a retry won't help.
+ * @property code result code that identifies the kind of error.
+ * @property detail description of the error for the caller.
+ * @property outcome whether the request was executed.
+ * @property retryAfter time that the caller should wait before a retry; null if a retry will not help.
  */
 public data class Refusal(
     public val code: ResultCode,
@@ -17,7 +17,7 @@
     public val retryAfter: Duration? = null,
 ) {
     public companion object {
-        /** A refusal of a request of which no byte reached an endpoint. */
+        /** An error for a request of which no byte reached an endpoint. */
         public fun notRun(
             code: ResultCode,
             detail: String,
--- a/model/src/main/kotlin/dev/almondhaven/peer/ConfigurationMessages.kt
+++ b/model/src/main/kotlin/dev/almondhaven/peer/ConfigurationMessages.kt
@@ -4,7 +4,7 @@
 import dev.almondhaven.model.Generation
 import kotlinx.serialization.Serializable
 
-/** Hands a router the catalogue of an accepted configuration; it takes it if it is newer than its own. */
+/** Sends the catalogue of an accepted configuration; the receiver applies it if it is newer than its own. */
 @Serializable
 public data class ConfigurationPush(
     public val catalogue: Catalogue,
@@ -14,7 +14,7 @@
  * Answer to a [ConfigurationPush].
  *
  * @property generation generation in force on the router after the push.
- * @property taken whether the push brought it in force.
+ * @property taken whether the receiver applied the pushed catalogue.
  */
 @Serializable
 public data class ConfigurationHeld(
@@ -22,7 +22,7 @@
     public val taken: Boolean = false,
 )
 
-/** Asks a router for its catalogue if that is newer than [newerThan]. */
+/** Asks a router for its catalogue if it is newer than [newerThan]. */
 @Serializable
 public data class ConfigurationRequest(
     public val newerThan: Generation,
--- a/model/src/main/kotlin/dev/almondhaven/peer/PeerKeyRing.kt
+++ b/model/src/main/kotlin/dev/almondhaven/peer/PeerKeyRing.kt
@@ -6,7 +6,7 @@
 import javax.crypto.Mac
 import javax.crypto.spec.SecretKeySpec
 
-/** A secret that all routers and operators' commands share. */
+/** A secret shared by all routers and the operator commands. */
 @Serializable
 @JvmInline
 public value class PeerKey(
@@ -15,17 +15,17 @@
     override fun toString(): String = "***"
 
     public companion object {
-        /** Shortest secret that settings accept, in characters. */
+        /** Minimum length of a secret in the settings, in characters. */
         public const val MINIMUM_LENGTH: Int = 16
     }
 }
 
 /**
- * Signs and verifies messages with HMAC-SHA-256. The first key signs; every key verifies, so keys are rotated by adding
- * the new one last everywhere, then moving it first everywhere, then dropping the old one.
+ * Signs and verifies messages with HMAC-SHA-256. The first key signs; every key verifies, so a key is rotated by adding
+ * the new one last on every node, then moving it first on every node, then removing the old one.
  *
- * An answer is signed together with its request's signature, so that it can't be given to another request. A request
- * that is sent again verifies again: handlers have to be idempotent.
+ * The signature of a response covers the signature of its request, so it is not valid for another request. Replayed
+ * requests are not detected, so handlers must be idempotent.
  */
 public class PeerKeyRing(
     private val keys: List<PeerKey>,
@@ -47,13 +47,13 @@
         body: String,
     ): Boolean = keys.any { matches(signature, sign(it, path, body)) }
 
-    /** Signature of an answer with [body] to the request signed with [requestSignature]. */
+    /** Signature of a response with [body] to the request signed with [requestSignature]. */
     public fun signAnswer(
         requestSignature: String,
         body: String,
     ): String = sign(keys.first(), requestSignature, body)
 
-    /** Whether [signature] is that of an answer with [body] to the request signed with [requestSignature]. */
+    /** Whether [signature] is that of a response with [body] to the request signed with [requestSignature]. */
     public fun verifiesAnswer(
         signature: String,
         requestSignature: String,
@@ -73,9 +73,9 @@
     }
 
     private fun matches(
-        given: String,
+        actual: String,
         expected: String,
-    ): Boolean = MessageDigest.isEqual(given.toByteArray(), expected.toByteArray())
+    ): Boolean = MessageDigest.isEqual(actual.toByteArray(), expected.toByteArray())
 
     private companion object {
         const val ALGORITHM = "HmacSHA256"
--- a/model/src/main/kotlin/dev/almondhaven/peer/PeerProtocol.kt
+++ b/model/src/main/kotlin/dev/almondhaven/peer/PeerProtocol.kt
@@ -3,18 +3,18 @@
 import kotlinx.serialization.json.Json
 
 /**
- * What every message of the peer protocol shares: HTTP with JSON below [PATH_PREFIX], signed as [PeerKeyRing] says.
- * A field that a receiver doesn't know is skipped, so that routers of two releases understand each other; a change that
- * an older router must not skip takes a new prefix.
+ * Constants shared by all messages of the peer protocol: HTTP with JSON below [PATH_PREFIX], signed by [PeerKeyRing].
+ * Receivers skip unknown fields, so that routers of different releases interoperate; a change that an older router must
+ * not skip needs a new prefix.
  */
 public object PeerProtocol {
-    /** Begins the path of every message. */
+    /** Path prefix of every message. */
     public const val PATH_PREFIX: String = "/peer/v1/"
 
-    /** Header that carries the signature of a request or of an answer. */
+    /** Header that carries the signature of a request or a response. */
     public const val SIGNATURE_HEADER: String = "x-almondhaven-signature"
 
-    /** Path, below the prefix, at which a router tells its [PeerStatus] to a `GET`. */
+    /** Path, below the prefix, at which a router returns its [PeerStatus] to a `GET`. */
     public const val STATUS: String = "status"
 
     /** Path, below the prefix, that takes a [ConfigurationPush] and answers with a [ConfigurationHeld]. */
@@ -23,6 +23,6 @@
     /** Path, below the prefix, that takes a [ConfigurationRequest] and answers with a [ConfigurationAnswer]. */
     public const val CONFIGURATION_REQUEST: String = "configuration-request"
 
-    /** Codec of the messages. */
+    /** JSON format of the messages. */
     public val json: Json = Json { ignoreUnknownKeys = true }
 }
--- a/model/src/main/kotlin/dev/almondhaven/peer/PeerStatus.kt
+++ b/model/src/main/kotlin/dev/almondhaven/peer/PeerStatus.kt
@@ -6,17 +6,17 @@
 import kotlinx.serialization.Serializable
 
 /**
- * What a router tells of itself to its peers and to the operators' command.
+ * Status that a router reports to its peers and to the operator command.
  *
  * @property generation generation in force on the router.
- * @property digest digest of the catalogue in force; routers at one generation have the same.
- * @property inForceSince epoch milliseconds at which the generation came in force here; null before the first one.
- * @property staleSince epoch milliseconds since which nobody within reach has confirmed the generation with the
+ * @property digest digest of the catalogue in force; equal on all routers with the same generation.
+ * @property inForceSince epoch milliseconds at which the generation took effect there; null before the first one.
+ * @property staleSince epoch milliseconds since which no reachable router has confirmed the generation with the
  * platform; null while it is confirmed.
- * @property platformReachable whether the router's own last call of the platform had an answer.
- * @property ready whether the router takes callers' requests.
- * @property draining whether the router is about to stop.
- * @property members every router that this one holds to be alive, itself included.
+ * @property platformReachable whether the platform responded to the router's last call.
+ * @property ready whether the router accepts requests from callers.
+ * @property draining whether the router is draining before it stops.
+ * @property members every router that this one considers alive, including itself.
  */
 @Serializable
 public data class PeerStatus(
@@ -33,9 +33,9 @@
 )
 
 /**
- * A router as another one sees it.
+ * A router in another router's membership view.
  *
- * @property suspected whether it has stopped answering and will be dropped unless it does again.
+ * @property suspected whether the router has stopped responding and will be removed unless it responds again.
  */
 @Serializable
 public data class PeerMember(
--- a/model/src/main/kotlin/dev/almondhaven/peer/VmListEntry.kt
+++ b/model/src/main/kotlin/dev/almondhaven/peer/VmListEntry.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What the platform says of a VM. */
+/** State of a VM as reported by the platform. */
 @Serializable
 public enum class VmState {
     @SerialName("live")
@@ -14,9 +14,9 @@
 }
 
 /**
- * An entry of the platform's list of VMs, which lags behind.
+ * An entry of the platform's list of VMs, which lags behind the actual state.
  *
- * @property peerAddress `ip:port` at which a router on the VM speaks the peer protocol.
+ * @property peerAddress `ip:port` at which a router on the VM serves the peer protocol.
  */
 @Serializable
 public data class VmListEntry(
--- a/model/src/main/kotlin/dev/almondhaven/settings/DurationText.kt
+++ b/model/src/main/kotlin/dev/almondhaven/settings/DurationText.kt
@@ -8,7 +8,7 @@
 import kotlinx.serialization.encoding.Encoder
 import kotlin.time.Duration
 
-/** Writes durations as people do, for example `3s` or `250ms`. */
+/** Serializes durations as text, for example `3s` or `250ms`. */
 public object DurationText : KSerializer<Duration> {
     internal const val NAME: String = "dev.almondhaven.DurationText"
 
--- a/model/src/main/kotlin/dev/almondhaven/settings/Problem.kt
+++ b/model/src/main/kotlin/dev/almondhaven/settings/Problem.kt
@@ -1,11 +1,11 @@
 package dev.almondhaven.settings
 
 /**
- * One thing that is wrong in a document an operator wrote.
+ * One error in a document that an operator wrote.
  *
- * @property path where it stands, for example `endpoints.added[2].slots`.
- * @property value what stands there, as text.
- * @property expected what would be right.
+ * @property path path of the value, for example `endpoints.added[2].slots`.
+ * @property value the actual value as text.
+ * @property expected description of a valid value.
  */
 public data class Problem(
     public val path: String,
--- a/model/src/main/kotlin/dev/almondhaven/settings/YamlDocument.kt
+++ b/model/src/main/kotlin/dev/almondhaven/settings/YamlDocument.kt
@@ -10,8 +10,8 @@
 import kotlinx.serialization.KSerializer
 
 /**
- * Reads YAML documents that operators wrote and reports every problem at once, where the YAML library alone stops at
- * the first.
+ * Reads YAML documents that operators wrote and reports all problems at once; the YAML library alone stops at the first
+ * one.
  *
  * ```
  * YamlDocument.read(RouterSettings.serializer(), text)
@@ -53,8 +53,8 @@
         }
 
     private fun YamlException.toProblem(): Problem {
-        val place = path.segments.filterNot { it is YamlPathSegment.Root }
-        val where = if (place.isEmpty()) "document" else path.toHumanReadableString()
-        return Problem(where, "line $line, column $column", message)
+        val segments = path.segments.filterNot { it is YamlPathSegment.Root }
+        val location = if (segments.isEmpty()) "document" else path.toHumanReadableString()
+        return Problem(location, "line $line, column $column", message)
     }
 }
--- a/model/src/main/kotlin/dev/almondhaven/settings/YamlStructureChecker.kt
+++ b/model/src/main/kotlin/dev/almondhaven/settings/YamlStructureChecker.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration
 
 /**
- * Compares a YAML tree with the shape that a serializer expects and collects every difference: missing and unknown
+ * Compares a YAML tree with the structure that a serializer expects and collects every difference: missing and unknown
  * fields, wrong kinds, and values outside an enumeration.
  */
 internal class YamlStructureChecker private constructor() {
@@ -123,9 +123,9 @@
             descriptor.isInline -> expectation(descriptor.getElementDescriptor(0))
             descriptor.serialName == DurationText.NAME -> "a duration such as 3s or 250ms"
             descriptor.kind == PrimitiveKind.BOOLEAN -> "true or false"
-            descriptor.kind == PrimitiveKind.INT || descriptor.kind == PrimitiveKind.LONG -> "a whole number"
+            descriptor.kind == PrimitiveKind.INT || descriptor.kind == PrimitiveKind.LONG -> "an integer"
             descriptor.kind == PrimitiveKind.DOUBLE -> "a number"
-            descriptor.kind is PrimitiveKind -> "a text"
+            descriptor.kind is PrimitiveKind -> "a string"
             descriptor.kind == StructureKind.LIST -> "a list"
             descriptor.kind == SerialKind.ENUM -> "one of ${descriptor.elementNames.joinToString()}"
             else -> "a mapping with the fields ${descriptor.elementNames.joinToString()}"
--- a/model/src/main/kotlin/dev/almondhaven/traffic/CallerKey.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/CallerKey.kt
@@ -1,6 +1,6 @@
 package dev.almondhaven.traffic
 
-/** The secret by which a caller shows its organisation; never logged. */
+/** The API key that identifies the organisation of a caller; never logged. */
 @JvmInline
 public value class CallerKey(
     public val value: String,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/CallerLimits.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/CallerLimits.kt
@@ -4,12 +4,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What a caller may send, and how long it may take.
+ * Limits on the size and duration of what callers send.
  *
- * @property headerBytes largest request head.
- * @property bodyBytes largest request body.
- * @property headerTimeout longest time from the first byte of a request to the end of its head.
- * @property idleTimeout how long a connection without a request is kept.
+ * @property headerBytes maximum size of the request headers.
+ * @property bodyBytes maximum size of the request body.
+ * @property headerTimeout maximum time from the first byte of a request to the end of its headers.
+ * @property idleTimeout how long an idle connection is kept open.
  */
 public data class CallerLimits(
     public val headerBytes: Int,
@@ -18,7 +18,7 @@
     public val idleTimeout: Duration,
 ) {
     public companion object {
-        /** In force until the first configuration is known; as large as common servers allow. */
+        /** Limits until the first configuration is received; as large as common servers allow. */
         public val BEFORE_CONFIGURATION: CallerLimits = CallerLimits(16_384, 4_194_304, 3.seconds, 15.seconds)
     }
 }
--- a/model/src/main/kotlin/dev/almondhaven/traffic/EndpointListing.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/EndpointListing.kt
@@ -6,13 +6,14 @@
 import kotlin.time.Duration
 
 /**
- * What an endpoint says of itself in the platform's list.
+ * An endpoint's entry in the platform's store.
  *
  * @property address `ip:port`.
  * @property version of the endpoint's software.
- * @property leaving whether it takes no new requests.
- * @property coldLeft how long it stays cold, counted from the moment it said so.
- * @property startedAtMillis Unix time of its start; another one under the same id is another endpoint. 0 if not said.
+ * @property leaving whether the endpoint is draining and takes no new requests.
+ * @property coldLeft remaining warm-up time, as of the moment the endpoint reported it.
+ * @property startedAtMillis Unix time of the start in milliseconds, 0 if not reported; another value under the same id
+ * means another endpoint.
  */
 public data class EndpointListing(
     public val id: EndpointId,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/EngineProfile.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/EngineProfile.kt
@@ -1,12 +1,12 @@
 package dev.almondhaven.traffic
 
 /**
- * What the model engines of a service can hold.
+ * Capacity and models of the model engines of a service.
  *
- * @property slots requests that one engine runs at once.
- * @property kvCacheTokens tokens that running requests and cached prompt parts of one engine share.
- * @property tokensPerEvent tokens in one event of a stream.
- * @property models what the engines serve, smallest first.
+ * @property slots number of requests that one engine runs concurrently.
+ * @property kvCacheTokens KV cache capacity of one engine in tokens, shared by running requests and cached prefixes.
+ * @property tokensPerEvent number of tokens in one event of a stream.
+ * @property models models that the engines serve, smallest first.
  */
 public data class EngineProfile(
     public val slots: Int,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/KeyOwner.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/KeyOwner.kt
@@ -3,9 +3,9 @@
 import dev.almondhaven.model.OrganisationId
 
 /**
- * The organisation that holds a key.
+ * The organisation that owns an API key.
  *
- * @property priority goes before the priority of the route, 0 first; null where the route's holds.
+ * @property priority overrides the priority of the route, 0 is the most urgent; null keeps the priority of the route.
  */
 public data class KeyOwner(
     public val organisation: OrganisationId,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/NodeSettings.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/NodeSettings.kt
@@ -4,13 +4,13 @@
 import kotlin.time.Duration
 
 /**
- * Where a router process runs and what holds there, as its VM's settings tell.
+ * Addresses, placement and bounds of a router process, from the settings file of its VM.
  *
  * @property name unique among the VMs.
- * @property callerAddress `ip:port` on which callers are served.
- * @property readyAddress `ip:port` on which the balancer asks whether the router takes connections.
+ * @property callerAddress `ip:port` that serves callers.
+ * @property readyAddress `ip:port` that answers the readiness checks of the load balancer.
  * @property storeAddress `ip:port` of the platform's store.
- * @property peerAddress `ip:port` on which other routers' datagrams are received.
+ * @property peerAddress `ip:port` that receives datagrams from other routers.
  */
 public data class NodeSettings(
     public val name: String,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/PromptPart.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/PromptPart.kt
@@ -1,9 +1,9 @@
 package dev.almondhaven.traffic
 
 /**
- * A part of a prompt that several requests may share.
+ * A segment of a prompt that several requests may share.
  *
- * @property tokens its length.
+ * @property tokens length of the segment in tokens.
  */
 public data class PromptPart(
     public val id: String,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/ReportedLoad.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/ReportedLoad.kt
@@ -1,9 +1,9 @@
 package dev.almondhaven.traffic
 
 /**
- * An endpoint's own count of its requests, some hundred milliseconds old.
+ * An endpoint's own count of its requests, a few hundred milliseconds old.
  *
- * @property slots requests that can run at once.
+ * @property slots number of requests that can run concurrently.
  */
 public data class ReportedLoad(
     public val running: Int,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/RequestKind.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/RequestKind.kt
@@ -1,13 +1,13 @@
 package dev.almondhaven.traffic
 
-/** What may be repeated of a route's requests. */
+/** Whether and how the requests of a route may be retried. */
 public enum class RequestKind {
     /** May run any number of times. */
     IDEMPOTENT,
 
-    /** Runs once at most for each request of a caller. */
+    /** Runs at most once for each of a caller's requests. */
     NON_IDEMPOTENT,
 
-    /** Answered by a series of events; repeated only where the route can be resumed. */
+    /** Answered with a stream of events; retried only if the route is resumable. */
     STREAMING,
 }
--- a/model/src/main/kotlin/dev/almondhaven/traffic/RequestMetadata.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/RequestMetadata.kt
@@ -3,16 +3,16 @@
 import kotlin.time.Duration
 
 /**
- * What a caller asks for beside method, path and body.
+ * What a caller's request states in its headers.
  *
- * @property requestId unique for each attempt of the caller.
- * @property deadline how long the caller waits, from when it sent the request; null if it did not say.
- * @property resumeAfter id of the last event the caller has, where it resumes a stream.
- * @property model what the caller named; [ANY_MODEL] leaves it to the system.
- * @property outputTokens most tokens to generate.
- * @property outputEstimate the caller's guess at the tokens to generate; often far off.
- * @property promptParts in order; the last one belongs to the request or its session.
- * @property session requests of one session keep their version.
+ * @property requestId unique for each attempt by the caller.
+ * @property deadline how long the caller waits, counted from when it sent the request; null if not stated.
+ * @property resumeAfter id of the last event that the caller received, if it resumes a stream.
+ * @property model the model that the caller names; [ANY_MODEL] leaves the choice to the router.
+ * @property outputTokens maximum number of tokens to generate.
+ * @property outputEstimate the caller's estimate of the number of generated tokens; often inaccurate.
+ * @property promptParts segments of the prompt in order; the last one is specific to the request or its session.
+ * @property session id of the session; requests of one session stay on one version.
  */
 public data class RequestMetadata(
     public val requestId: String,
@@ -27,7 +27,7 @@
     public val session: String?,
 ) {
     public companion object {
-        /** The model's name by which a caller leaves the choice to the system. */
+        /** Model name with which a caller leaves the choice to the router. */
         public const val ANY_MODEL: String = "*"
     }
 }
--- a/model/src/main/kotlin/dev/almondhaven/traffic/ResponseMetadata.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/ResponseMetadata.kt
@@ -3,14 +3,14 @@
 import kotlin.time.Duration
 
 /**
- * What an endpoint says of its answer and of itself in the head of an answer.
+ * What an endpoint reports in its response headers about the response and about itself.
  *
- * @property requestId of the request that the answer belongs to; null if not said.
- * @property isSigned whether the endpoint signed the answer.
- * @property notRun whether the endpoint states that it has not run the request.
- * @property load null if not said.
- * @property coldLeft null if not said.
- * @property confidence the model's own opinion of its answer, 0 to 100.
+ * @property requestId id of the request that the response belongs to; null if not reported.
+ * @property isSigned whether the endpoint signed the response.
+ * @property notRun whether the endpoint states that it did not run the request.
+ * @property load the endpoint's request counts; null if not reported.
+ * @property coldLeft remaining warm-up time; null if not reported.
+ * @property confidence the model's confidence in its answer, from 0 to 100; null if not reported.
  */
 public data class ResponseMetadata(
     public val requestId: String?,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/RollOutOrder.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/RollOutOrder.kt
@@ -4,12 +4,12 @@
 import kotlin.time.Duration
 
 /**
- * The operator's order to move a service to the endpoints of another version.
+ * An operator's order to move a service to the endpoints of another version.
  *
  * @property target the version to move to.
- * @property within time the move may take.
+ * @property within time limit of the roll-out.
  * @property revision of the order in the platform's store, for conditional updates.
- * @property creationRevision revision at which the order came into being; another one is another order.
+ * @property creationRevision store revision at which the order was created; identifies the order.
  */
 public data class RollOutOrder(
     public val service: ServiceId,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/RollOutState.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/RollOutState.kt
@@ -1,16 +1,16 @@
 package dev.almondhaven.traffic
 
-/** How far a roll-out has come, as all routers and the operator see it. */
+/** Progress of a roll-out, shared by all routers and the operator. */
 public enum class RollOutState {
-    /** Nobody has taken the order up. */
+    /** No router has started the roll-out. */
     ORDERED,
 
     /** Some requests go to the new version. */
     RUNNING,
 
-    /** All requests go to the new version; the old endpoints stop. */
+    /** All requests go to the new version; the endpoints of the old one stop. */
     DONE,
 
-    /** The new version turned out bad and gets nothing. */
+    /** The new version performed worse and gets no requests. */
     ROLLED_BACK,
 }
--- a/model/src/main/kotlin/dev/almondhaven/traffic/ServiceProfile.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/ServiceProfile.kt
@@ -4,13 +4,13 @@
 import kotlin.time.Duration
 
 /**
- * A service that routes lead to.
+ * A service that routes send requests to.
  *
- * @property healthPath path of an endpoint's health check.
- * @property maxConnections connections an endpoint accepts from all callers together.
- * @property coldStart how long an endpoint is cold after it started.
- * @property coldRequestsPerSecond what one cold endpoint bears from all routers together; 0 for no bound.
- * @property engine set where the endpoints are model engines.
+ * @property healthPath path of the endpoints' health check.
+ * @property maxConnections maximum number of connections that one endpoint accepts, over all clients.
+ * @property coldStart how long an endpoint warms up after its start.
+ * @property coldRequestsPerSecond rate that one cold endpoint sustains from all routers together; 0 for no limit.
+ * @property engine engine profile if the endpoints are model engines, otherwise null.
  */
 public data class ServiceProfile(
     public val id: ServiceId,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/TrafficBounds.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/TrafficBounds.kt
@@ -3,14 +3,14 @@
 import kotlin.time.Duration
 
 /**
- * Bounds that a deployment sets for all routers together.
+ * Time and retry bounds that a deployment sets for all its routers.
  *
- * @property shutdownGracePeriod from the request to stop to the end by force.
- * @property drain a leaving endpoint gets no new requests after this time.
- * @property revocation within this time a key that was taken away no longer works.
- * @property retryRatio repeats that a service may get for each request, in any span of [retryWindow].
- * @property retrySlack repeats beyond these.
- * @property sessionIdleTimeout requests of a session that follow within this time belong together.
+ * @property shutdownGracePeriod time from the request to stop until the process is killed.
+ * @property drain time after which a leaving endpoint must get no more new requests.
+ * @property revocation time within which a revoked key must stop working.
+ * @property retryRatio retries that a service may get per request, in any window of length [retryWindow].
+ * @property retrySlack retries allowed in each window in addition to those.
+ * @property sessionIdleTimeout requests of a session that follow each other within this time belong together.
  */
 public data class TrafficBounds(
     public val shutdownGracePeriod: Duration,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/TrafficConfiguration.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/TrafficConfiguration.kt
@@ -3,10 +3,10 @@
 import dev.almondhaven.model.ServiceId
 
 /**
- * One version of what the operator has published, ready for look-ups.
+ * One version of the operator's configuration, indexed for look-ups.
  *
- * @property version rises with every change, in uneven steps.
- * @property keys null where callers need no keys at all.
+ * @property version increases with every change, not necessarily by 1.
+ * @property keys owners of the API keys; null if no caller needs a key.
  */
 public data class TrafficConfiguration(
     public val version: Long,
@@ -16,11 +16,11 @@
     public val keys: Map<CallerKey, KeyOwner>?,
 ) {
     private val byHost =
-        routes.groupBy { it.host }.mapValues { (_, them) ->
-            them.sortedByDescending { it.pathPrefix.length }
+        routes.groupBy { it.host }.mapValues { (_, hostRoutes) ->
+            hostRoutes.sortedByDescending { it.pathPrefix.length }
         }
 
-    /** The route of [host] with the longest prefix of [path], or null. */
+    /** The route of [host] whose path prefix is the longest that matches [path], or null. */
     public fun route(
         host: String,
         path: String,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/TrafficRoute.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/TrafficRoute.kt
@@ -3,18 +3,18 @@
 import kotlin.time.Duration
 
 /**
- * Requests that are treated alike, chosen by host and path.
+ * A route: the requests with a given host and path prefix, and how they are served.
  *
  * @property host lower case, without a port.
  * @property pathPrefix begins and ends with a slash.
- * @property timeout longest time a caller is kept waiting for the end of its answer.
- * @property latencyObjective time to the answer (of a stream: its first event) that is still on time.
- * @property eventGapObjective longest pause between two events of a stream that is still on time.
+ * @property timeout maximum time until the response is complete.
+ * @property latencyObjective target for the time to the response, or to the first event of a stream.
+ * @property eventGapObjective target for the time between two events of a stream; null without one.
  * @property priority 0 is the most urgent.
- * @property models names of models that may answer, smallest first; empty where the caller names the model.
- * @property maxAttempts most endpoints that may run one request.
- * @property open whether callers need no key.
- * @property resumable whether a stream may go on at another endpoint after its last event.
+ * @property models names of the models that may be used, smallest first; empty if the caller names the model.
+ * @property maxAttempts maximum number of endpoints that may run one request.
+ * @property open whether callers need no API key.
+ * @property resumable whether another endpoint may continue a stream after its last event.
  */
 public data class TrafficRoute(
     public val name: String,
--- a/model/src/main/kotlin/dev/almondhaven/traffic/WeightedService.kt
+++ b/model/src/main/kotlin/dev/almondhaven/traffic/WeightedService.kt
@@ -3,9 +3,9 @@
 import dev.almondhaven.model.ServiceId
 
 /**
- * One of the services that share a route.
+ * One of the services among which the requests of a route are split.
  *
- * @property weight its part of the route's requests, against the sum of all weights.
+ * @property weight share of the route's requests, relative to the sum of all weights.
  */
 public data class WeightedService(
     public val service: ServiceId,
--- a/model/src/test/kotlin/dev/almondhaven/model/DocumentedTablesTest.kt
+++ b/model/src/test/kotlin/dev/almondhaven/model/DocumentedTablesTest.kt
@@ -16,7 +16,7 @@
     @Nested
     inner class ResultCodes {
         @Test
-        fun `the table in the docs equals the codes`() {
+        fun `the table in the docs matches the result codes`() {
             val expected =
                 ResultCode.entries.map { code ->
                     val status = if (code.status == 0) "–" else "${code.status}"
@@ -27,7 +27,7 @@
         }
 
         @Test
-        fun `every number stands once`() {
+        fun `every number is unique`() {
             expectThat(ResultCode.entries.map { it.number }.toSet()).hasSize(ResultCode.entries.size)
         }
     }
@@ -35,14 +35,14 @@
     @Nested
     inner class Events {
         @Test
-        fun `the catalogue in the docs equals the events`() {
+        fun `the table in the docs matches the log events`() {
             val expected = LogEvent.entries.map { "| ${it.number} | ${it.name} | ${it.level} | ${it.meaning} |" }
 
             expectThat(rows("EVENTS.md")).containsExactly(expected)
         }
 
         @Test
-        fun `every number stands once`() {
+        fun `every number is unique`() {
             expectThat(LogEvent.entries.map { it.number }.toSet()).hasSize(LogEvent.entries.size)
         }
     }
--- a/model/src/test/kotlin/dev/almondhaven/peer/PeerKeyRingTest.kt
+++ b/model/src/test/kotlin/dev/almondhaven/peer/PeerKeyRingTest.kt
@@ -15,7 +15,7 @@
     @Nested
     inner class `a signature` {
         @Test
-        fun `holds for its own path and body only`() {
+        fun `is valid only for its own path and body`() {
             val signature = ring.signRequest("/peer/v1/probe", "{}")
 
             expectThat(ring.verifiesRequest(signature, "/peer/v1/probe", "{}")).isTrue()
@@ -24,7 +24,7 @@
         }
 
         @Test
-        fun `of an answer holds for its own request only`() {
+        fun `of a response is valid only for its own request`() {
             val answer = ring.signAnswer(ring.signRequest("/peer/v1/probe", "1"), "{}")
 
             expectThat(ring.verifiesAnswer(answer, ring.signRequest("/peer/v1/probe", "1"), "{}")).isTrue()
@@ -35,20 +35,20 @@
     @Nested
     inner class `a rotation` {
         @Test
-        fun `has no step at which two neighbouring stages fail to understand each other`() {
+        fun `lets nodes at adjacent stages verify each other's requests`() {
             val stages = listOf(listOf(old), listOf(old, new), listOf(new, old), listOf(new)).map(::PeerKeyRing)
 
-            val understood =
+            val verified =
                 stages.zipWithNext().map { (before, after) ->
                     after.verifiesRequest(before.signRequest("p", "b"), "p", "b") &&
                         before.verifiesRequest(after.signRequest("p", "b"), "p", "b")
                 }
 
-            expectThat(understood).isEqualTo(listOf(true, true, true))
+            expectThat(verified).isEqualTo(listOf(true, true, true))
         }
 
         @Test
-        fun `ends the old key`() {
+        fun `rejects the old key after its removal`() {
             expectThat(PeerKeyRing(listOf(new)).verifiesRequest(ring.signRequest("p", "b"), "p", "b")).isFalse()
         }
     }
--- a/model/src/test/kotlin/dev/almondhaven/settings/YamlDocumentTest.kt
+++ b/model/src/test/kotlin/dev/almondhaven/settings/YamlDocumentTest.kt
@@ -26,13 +26,13 @@
                 listOf(
                     Problem("minuts", "minuts", "one of the fields share, minutes"),
                     Problem("share", "'many'", "a number"),
-                    Problem("minutes", "nothing", "a whole number"),
+                    Problem("minutes", "nothing", "an integer"),
                 ).left(),
             )
         }
 
         @Test
-        fun `that isn't YAML says where it breaks`() {
+        fun `that isn't YAML is rejected`() {
             val result = YamlDocument.read(ReleaseNote.serializer(), "id: [")
 
             expectThat(result.isLeft()).isTrue()
