--- a/store/src/main/kotlin/dev/almondhaven/store/AuditTrail.kt
+++ b/store/src/main/kotlin/dev/almondhaven/store/AuditTrail.kt
@@ -18,7 +18,8 @@
 /**
  * All accepted entries, oldest first, and the faults found in their hash chain.
  *
- * @property isNewestEntryUnstored whether the newest entry is known from the head only; the next publisher writes its object.
+ * @property isNewestEntryUnstored whether the newest entry is known from the head only; the next publisher
+ *   stores its object.
  */
 public data class AuditReport(
     public val records: List<ConfigurationRecord>,
--- a/store/src/test/kotlin/dev/almondhaven/store/PublishInterleavingPropertyTest.kt
+++ b/store/src/test/kotlin/dev/almondhaven/store/PublishInterleavingPropertyTest.kt
@@ -35,7 +35,7 @@
             )
         }
 
-    /** Operators that publish and retry on one faulty platform; some publish between the calls of another's publication. */
+    /** Operators that publish and retry on one faulty platform, some between the calls of another's publication. */
     private class Run(
         seed: Long,
         faults: ObjectStoreFaults,
