--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/claims/ClaimLoad.kt
@@ -16,8 +16,8 @@
 import dev.almondhaven.model.Outcome
 import dev.almondhaven.model.RouterId
 import dev.almondhaven.model.ServiceId
-import dev.almondhaven.store.CallBudget
 import dev.almondhaven.store.CircuitBreaker
+import dev.almondhaven.store.ProcessRateLimiter
 import org.HdrHistogram.Histogram
 import org.apache.commons.rng.simple.RandomSource
 import java.util.Base64
@@ -98,8 +98,8 @@
     private inner class RouterLimits {
         val clock = NanoClock { now }
         val breaker = CircuitBreaker(clock, kotlin.random.Random(random.nextInt()))
-        val writes = CallBudget(clock, CALL_BURST) { WRITES_PER_SECOND / plan.routers }
-        val reads = CallBudget(clock, CALL_BURST) { READS_PER_SECOND / plan.routers }
+        val writes = ProcessRateLimiter(clock, CALL_BURST) { WRITES_PER_SECOND / plan.routers }
+        val reads = ProcessRateLimiter(clock, CALL_BURST) { READS_PER_SECOND / plan.routers }
     }
 
     private inner class WriterDriver(
@@ -138,23 +138,23 @@
         }
 
         private fun call(
-            budget: CallBudget,
+            budget: ProcessRateLimiter,
             callsBySecond: IntArray,
             action: () -> Unit,
         ) {
-            val pause = budget.tryTake().inWholeNanoseconds
+            val pause = budget.tryAcquire().inWholeNanoseconds
             if (pause > 0) return schedule(now + pause) { advance() }
-            if (!limits.breaker.tryPass()) return schedule(now + BREAKER_POLL_NANOS) { advance() }
+            if (!limits.breaker.tryAcquire()) return schedule(now + BREAKER_POLL_NANOS) { advance() }
             callsBySecond[second()]++
             isCallInProgress = true
             val isOutage = second() in plan.outage
             schedule(now + if (isOutage) CALL_TIMEOUT_NANOS else CALL_LATENCY_NANOS) {
                 isCallInProgress = false
                 if (isOutage) {
-                    limits.breaker.reportFailure()
+                    limits.breaker.recordFailure()
                     writer.onFailure(now)
                 } else {
-                    if (limits.breaker.reportAnswer()) limits.writes.empty()
+                    if (limits.breaker.recordResponse()) limits.writes.drain()
                     action()
                 }
                 advance()
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentBench.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/DeploymentBench.kt
@@ -102,7 +102,7 @@
         return results.toList()
     }
 
-    private fun publisher() = Publisher("bench", System.currentTimeMillis(), from = "loopback")
+    private fun publisher() = Publisher("bench", System.currentTimeMillis(), host = "loopback")
 
     /** Starts [count] callers, distributed over the organisations in proportion to their shares. */
     public fun startCallers(count: Int) {
@@ -174,10 +174,10 @@
 
     /** Makes every engine respond to requests for [version] with errors. */
     public fun failVersion(version: ModelVersionId): Unit =
-        fleet.engines.values.forEach { it.badVersions = setOf(version) }
+        fleet.engines.values.forEach { it.failingVersions = setOf(version) }
 
     /** Reverts [failVersion]. */
-    public fun recoverVersions(): Unit = fleet.engines.values.forEach { it.badVersions = emptySet() }
+    public fun recoverVersions(): Unit = fleet.engines.values.forEach { it.failingVersions = emptySet() }
 
     private fun engine(index: Int): EngineStandIn = fleet.engines.values.toList()[index]
 
--- a/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/StandInFleet.kt
+++ b/experiments/src/main/kotlin/dev/almondhaven/experiments/deployment/StandInFleet.kt
@@ -57,7 +57,7 @@
     public companion object {
         /** Latencies of the engines without faults. */
         public val BEHAVIOUR: EngineBehaviour =
-            EngineBehaviour(timeToFirstToken = 20.milliseconds, betweenTokens = 4.milliseconds)
+            EngineBehaviour(timeToFirstToken = 20.milliseconds, interTokenDelay = 4.milliseconds)
 
         /** Starts a simulated endpoint for every endpoint that [note] adds. */
         public fun start(note: ReleaseNote): StandInFleet =
