--- a/operator/src/main/kotlin/dev/almondhaven/operator/HistoryCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/HistoryCommands.kt
@@ -65,14 +65,14 @@
             }
         }
         if (report.faults.isNotEmpty()) throw brokenAuditTrail(report.faults)
-        val pending = if (report.awaitsObject) "; the next publication stores the newest" else ""
+        val pending = if (report.isNewestEntryUnstored) "; the next publication stores the newest" else ""
         echo("${report.records.size} entries, the hash chain is intact$pending", err = output == Output.JSON)
     }
 }
 
 /** Formats the record as one line of text. */
 internal fun ConfigurationRecord.line(): String =
-    "$generation  ${Instant.ofEpochMilli(acceptedAt)}  $author@$from  ${entry.summary()}  ${entry.reason}"
+    "$generation  ${Instant.ofEpochMilli(acceptedAt)}  $author@$host  ${entry.summary()}  ${entry.reason}"
 
 private fun ConfigurationEntry.summary(): String =
     when (this) {
--- a/operator/src/main/kotlin/dev/almondhaven/operator/NoteCommands.kt
+++ b/operator/src/main/kotlin/dev/almondhaven/operator/NoteCommands.kt
@@ -122,7 +122,7 @@
             platform.store
                 .publish(entry, publisher.publisher(), on?.let { Generation(it) })
                 .fold({ throw failureWithHistory(it) }, { it })
-        val verb = if (accepted.already) "was already" else "is"
+        val verb = if (accepted.wasAlreadyAccepted) "was already" else "is"
         echo("note ${entry.id} $verb accepted as generation ${accepted.generation}")
         pushToRouters(routers, platform)
     }
